--- a/Libraries/LibDaemon/EngineKeeper.cpp
+++ b/Libraries/LibDaemon/EngineKeeper.cpp
@@ -129,10 +129,10 @@
         Time now = Clock::now();
         m_accepted += isAccepted ? 1 : 0;
         if (isAccepted || isUnknown) {
-            service->second.sizer.noteOrdered(it.order, now);
+            service->second.sizer.recordOrder(it.order, now);
             service->second.firstOrderAt = service->second.firstOrderAt.value_or(now);
         } else if (reply.has_value() && it.order.kind == Roles::EngineKind::Reclaimable) {
-            service->second.sizer.noteScarce(it.order, now);
+            service->second.sizer.recordScarcity(it.order, now);
         } else if (reply.has_value()) {
             m_calls.loseAuthority();
             break;
--- a/Libraries/LibDaemon/RoleKeeper.cpp
+++ b/Libraries/LibDaemon/RoleKeeper.cpp
@@ -103,7 +103,7 @@
         view.engine = position;
         view.role = order != m_orders.end() ? order->second.role : target.role;
         if (target.isReclaimable)
-            view.lossGroup = lossGroups.try_emplace(target.availabilityZone, static_cast<std::uint32_t>(lossGroups.size() + 1)).first->second;
+            view.failureDomain = lossGroups.try_emplace(target.availabilityZone, static_cast<std::uint32_t>(lossGroups.size() + 1)).first->second;
         view.isFresh = isFresh(target.key, now);
         view.isLeaving = target.isLeaving;
         // Differences within what the estimates err are none.
--- a/Libraries/LibModel/EngineDay.cpp
+++ b/Libraries/LibModel/EngineDay.cpp
@@ -191,9 +191,9 @@
         for (EngineOrder const& order : sizer.plan(day.offer, market.zones(), heard, timeAt(now))) {
             ++figures.orders;
             if (market.carryOut(order, now))
-                sizer.noteOrdered(order, timeAt(now));
+                sizer.recordOrder(order, timeAt(now));
             else
-                sizer.noteScarce(order, timeAt(now));
+                sizer.recordScarcity(order, timeAt(now));
         }
         double working = market.working();
         double served = std::min(demand, working);
--- a/Libraries/LibModel/Oracle.cpp
+++ b/Libraries/LibModel/Oracle.cpp
@@ -28,7 +28,7 @@
         engines -= std::ceil(engines / m_scenario.zones);
     if (prefill >= engines)
         return 0;
-    return Roles::goodRequestsPerSecond(m_demands[step], { static_cast<double>(prefill), 0, engines - prefill }, m_roles.rates);
+    return Roles::estimateGoodput(m_demands[step], { static_cast<double>(prefill), 0, engines - prefill }, m_roles.rates);
 }
 
 double Oracle::cost(std::size_t step, int from, int to) const
@@ -37,7 +37,7 @@
         return 0;
     int engines = static_cast<int>(m_scenario.workload.engines);
     Roles::Split during { static_cast<double>(std::min(from, to)), 0, static_cast<double>(std::min(engines - from, engines - to)) };
-    double lost = value(step, to) - Roles::goodRequestsPerSecond(m_demands[step], during, m_roles.rates);
+    double lost = value(step, to) - Roles::estimateGoodput(m_demands[step], during, m_roles.rates);
     double seconds = m_roles.changeSeconds + m_roles.drainSeconds;
     double worth = value(step, to) / engines;
     return m_settings.costFactor * std::max(0.0, lost) * seconds + std::abs(from - to) * worth * m_scenario.changeCostSeconds;
--- a/Libraries/LibRoles/Capacity.cpp
+++ b/Libraries/LibRoles/Capacity.cpp
@@ -17,32 +17,32 @@
     return n / std::pow(1 + std::pow(n, sharpness), 1 / sharpness);
 }
 
-double ratio(double capacity, double demand)
+double headroomRatio(double capacity, double demand)
 {
-    constexpr double most = 100;
-    return demand * most <= capacity ? most : capacity / demand;
+    constexpr double maxRatio = 100;
+    return demand * maxRatio <= capacity ? maxRatio : capacity / demand;
 }
 
 }
 
-double goodRequestsPerSecond(Demand const& demand, Split const& split, EngineRates const& rates)
+double estimateGoodput(Demand const& demand, Split const& split, EngineRates const& rates)
 {
-    ClassDemand const& few = demand[static_cast<std::size_t>(PromptClass::Short)];
-    ClassDemand const& many = demand[static_cast<std::size_t>(PromptClass::Long)];
-    double decodeWork = (few.outputTokens + many.outputTokens) / rates.decodeTokensPerSecond;
-    double shortWork = few.promptTokens / rates.prefillTokensPerSecond;
-    double longWork = many.promptTokens / rates.prefillTokensPerSecond;
-    double besideDecode = split.mixed * rates.mixedPrefillTokensPerSecond / rates.prefillTokensPerSecond;
-
-    double output = servedShare(ratio(split.decode + split.mixed, decodeWork), outputSharpness);
+    ClassDemand const& shortPrompts = demand[static_cast<std::size_t>(PromptClass::Short)];
+    ClassDemand const& longPrompts = demand[static_cast<std::size_t>(PromptClass::Long)];
+    double decodeWork = (shortPrompts.outputTokens + longPrompts.outputTokens) / rates.decodeTokensPerSecond;
+    double shortWork = shortPrompts.promptTokens / rates.prefillTokensPerSecond;
+    double longWork = longPrompts.promptTokens / rates.prefillTokensPerSecond;
+    double mixedPrefillCapacity = split.mixed * rates.mixedPrefillTokensPerSecond / rates.prefillTokensPerSecond;
+
+    double output = servedShare(headroomRatio(split.decode + split.mixed, decodeWork), outputSharpness);
     // Mixed engines take short prompts first; what they cannot take competes with the long ones.
-    double rest = std::max(0.0, shortWork - besideDecode);
-    double prefill = servedShare(ratio(split.prefill, longWork + rest), promptSharpness);
-    double taken = shortWork > 0 ? std::min(1.0, besideDecode / shortWork) : 1;
-    double shortShare = std::max(taken * servedShare(ratio(besideDecode, shortWork), outputSharpness), taken + (1 - taken) * prefill);
+    double excessShortWork = std::max(0.0, shortWork - mixedPrefillCapacity);
+    double prefill = servedShare(headroomRatio(split.prefill, longWork + excessShortWork), promptSharpness);
+    double mixedShare = shortWork > 0 ? std::min(1.0, mixedPrefillCapacity / shortWork) : 1;
+    double shortShare = std::max(mixedShare * servedShare(headroomRatio(mixedPrefillCapacity, shortWork), outputSharpness), mixedShare + (1 - mixedShare) * prefill);
     if (split.prefill <= 0)
-        shortShare = servedShare(ratio(besideDecode, shortWork), outputSharpness);
-    return output * (few.requests * shortShare + many.requests * prefill);
+        shortShare = servedShare(headroomRatio(mixedPrefillCapacity, shortWork), outputSharpness);
+    return output * (shortPrompts.requests * shortShare + longPrompts.requests * prefill);
 }
 
 }
--- a/Libraries/LibRoles/Capacity.h
+++ b/Libraries/LibRoles/Capacity.h
@@ -31,6 +31,6 @@
 
 /// Estimates the requests a second that end in time under a demand. Smooth: spare capacity counts a
 /// little even where the demand fits, since it shortens queues. Thread-safe.
-double goodRequestsPerSecond(Demand const&, Split const&, EngineRates const&);
+double estimateGoodput(Demand const&, Split const&, EngineRates const&);
 
 }
--- a/Libraries/LibRoles/FleetSizer.cpp
+++ b/Libraries/LibRoles/FleetSizer.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-std::uint32_t rounded(double engines)
+std::uint32_t roundUp(double engines)
 {
     // Sums of fractions that should be whole are not.
-    constexpr double noise = 1e-6;
-    return static_cast<std::uint32_t>(std::ceil(std::max(0.0, engines - noise)));
+    constexpr double tolerance = 1e-6;
+    return static_cast<std::uint32_t>(std::ceil(std::max(0.0, engines - tolerance)));
 }
 
-std::vector<std::string> byPrice(EngineOffer const& offer, std::vector<ZoneEngines> const& zones)
+std::vector<std::string> namesByPrice(EngineOffer const& offer, std::vector<ZoneEngines> const& zones)
 {
     std::vector<std::string> names;
     for (ZoneEngines const& zone : zones)
@@ -36,18 +36,18 @@
 SizeRule sizeByPrice(double utilisation)
 {
     return [utilisation](double demand, double price) {
-        constexpr double leastPrice = 0.01;
-        return demand * (1 + (1 / utilisation - 1) / std::sqrt(std::clamp(price, leastPrice, 1.0)));
+        constexpr double minPrice = 0.01;
+        return demand * (1 + (1 / utilisation - 1) / std::sqrt(std::clamp(price, minPrice, 1.0)));
     };
 }
 
 // The demand for which the rule would have so many engines.
 double FleetSizer::demandFor(std::uint32_t engines, double price) const
 {
-    constexpr int halvings = 30;
+    constexpr int bisectionSteps = 30;
     double low = 0;
     double high = engines;
-    for (int n = 0; n < halvings; ++n) {
+    for (int n = 0; n < bisectionSteps; ++n) {
         double middle = (low + high) / 2;
         (m_rule(middle, price) > engines ? high : low) = middle;
     }
@@ -58,9 +58,9 @@
 {
     FleetSize size;
     size.demand = demand;
-    size.strained = rounded(demand / m_settings.strainedUtilisation);
-    size.wanted = std::max(rounded(m_rule(demand, offer.reclaimablePrice.value_or(1))), size.strained);
-    size.lasting = offer.reclaimablePrice ? std::min(size.wanted, rounded(m_settings.lastingPart * demand / m_settings.strainedUtilisation)) : size.wanted;
+    size.strained = roundUp(demand / m_settings.strainedUtilisation);
+    size.wanted = std::max(roundUp(m_rule(demand, offer.reclaimablePrice.value_or(1))), size.strained);
+    size.lasting = offer.reclaimablePrice ? std::min(size.wanted, roundUp(m_settings.lastingPart * demand / m_settings.strainedUtilisation)) : size.wanted;
     return size;
 }
 
@@ -78,17 +78,17 @@
     return text.str();
 }
 
-bool FleetSizer::isSettled(std::uint32_t found, Time now)
+bool FleetSizer::isSettled(std::uint32_t listed, Time now)
 {
-    if (m_found != found) {
-        m_found = found;
-        m_foundAt = now;
+    if (m_listedCount != listed) {
+        m_listedCount = listed;
+        m_listedSince = now;
     }
-    return found > 0 && now - m_foundAt >= m_settings.settle;
+    return listed > 0 && now - m_listedSince >= m_settings.stabilisationTime;
 }
 
 // The engines found were right for this demand, at their prices.
-double FleetSizer::demandThatFits(EngineOffer const& offer, std::vector<ZoneEngines> const& zones) const
+double FleetSizer::demandMatchedBy(EngineOffer const& offer, std::vector<ZoneEngines> const& zones) const
 {
     double demand = 0;
     for (ZoneEngines const& zone : zones)
@@ -106,10 +106,10 @@
 
 // The size follows the demand when it has been unfit for some time. Before that, operators or the holder before have found as many
 // engines right; one that has just come to know a demand may know only part of it.
-void FleetSizer::follow(EngineOffer const& offer, std::vector<ZoneEngines> const& zones, std::optional<double> demand, Time now)
+void FleetSizer::updateSize(EngineOffer const& offer, std::vector<ZoneEngines> const& zones, std::optional<double> demand, Time now)
 {
     if (!m_size) {
-        m_size = sizeFor(offer, std::max(demand.value_or(0), demandThatFits(offer, zones)));
+        m_size = sizeFor(offer, std::max(demand.value_or(0), demandMatchedBy(offer, zones)));
         m_size->isDemandKnown = demand.has_value();
         return;
     }
@@ -118,19 +118,19 @@
     FleetSize next = sizeFor(offer, *demand);
     next.isDemandKnown = true;
     double relative = static_cast<double>(next.wanted) / std::max<std::uint32_t>(1, m_size->wanted);
-    bool isShort = relative > 1 + m_settings.leastShortage;
-    bool isUnfit = isShort || relative < 1 - m_settings.leastSurplus;
-    if (!isUnfit) {
-        m_unfitSince.reset();
+    bool isShort = relative > 1 + m_settings.minShortageShare;
+    bool isOutOfTolerance = isShort || relative < 1 - m_settings.minSurplusShare;
+    if (!isOutOfTolerance) {
+        m_outOfToleranceSince.reset();
         return;
     }
-    if (!m_unfitSince || m_isShort != isShort)
-        m_unfitSince = now;
+    if (!m_outOfToleranceSince || m_isShort != isShort)
+        m_outOfToleranceSince = now;
     m_isShort = isShort;
-    if (now - *m_unfitSince < (isShort ? m_settings.alertTime : m_settings.patience))
+    if (now - *m_outOfToleranceSince < (isShort ? m_settings.shortagePatience : m_settings.patience))
         return;
     m_size = next;
-    m_unfitSince.reset();
+    m_outOfToleranceSince.reset();
 }
 
 bool FleetSizer::isScarce(Pool const& pool, Time now) const
@@ -140,12 +140,12 @@
 }
 
 // Whether there are to be more engines of a kind in a zone, and these may come.
-bool FleetSizer::isAwaited(EngineOffer const& offer, Pool const& pool, std::uint32_t wanted, std::uint32_t standing, Time now) const
+bool FleetSizer::isPending(EngineOffer const& offer, Pool const& pool, std::uint32_t wanted, std::uint32_t current, Time now) const
 {
-    if (wanted <= standing || isScarce(pool, now))
+    if (wanted <= current || isScarce(pool, now))
         return false;
-    std::map<Pool, Ordered>::const_iterator it = m_ordered.find(pool);
-    return it == m_ordered.end() || it->second.count != wanted || now - it->second.at < offer.bootTime + m_settings.listLag;
+    std::map<Pool, LastOrder>::const_iterator it = m_lastOrders.find(pool);
+    return it == m_lastOrders.end() || it->second.count != wanted || now - it->second.at < offer.bootTime + m_settings.listLag;
 }
 
 // Evenly, so that the loss of one availability zone's is the least; what is over goes where it is cheapest.
@@ -165,22 +165,22 @@
 FleetSizer::Counts FleetSizer::spreadLasting(EngineOffer const& offer, std::vector<ZoneEngines> const& zones, std::vector<std::string> const& names, Counts const& reclaimable, std::uint32_t total) const
 {
     Counts counts;
-    Counts standing;
+    Counts currentReclaimable;
     std::uint32_t sum = 0;
     for (ZoneEngines const& zone : zones) {
-        standing[zone.availabilityZone] = zone.reclaimable;
+        currentReclaimable[zone.availabilityZone] = zone.reclaimable;
         counts[zone.availabilityZone] = zone.lasting;
         sum += zone.lasting;
     }
     for (std::vector<std::string>::const_reverse_iterator it = names.rbegin(); it != names.rend(); ++it) {
-        std::uint32_t gone = std::min(counts[*it], sum - std::min(sum, total));
-        counts[*it] -= gone;
-        sum -= gone;
+        std::uint32_t removed = std::min(counts[*it], sum - std::min(sum, total));
+        counts[*it] -= removed;
+        sum -= removed;
     }
     for (std::string const& name : names) {
         // Cheap ones that serve give no place up.
-        std::uint32_t taken = standing[name] + counts[name];
-        std::uint32_t added = std::min(total - std::min(total, sum), offer.mostPerZone - std::min(offer.mostPerZone, taken));
+        std::uint32_t used = currentReclaimable[name] + counts[name];
+        std::uint32_t added = std::min(total - std::min(total, sum), offer.mostPerZone - std::min(offer.mostPerZone, used));
         counts[name] += added;
         sum += added;
         counts[name] = std::max(counts[name], offer.leastPerZone - std::min(offer.leastPerZone, reclaimable.at(name)));
@@ -193,27 +193,27 @@
 {
     std::uint32_t lasting = 0;
     std::uint32_t serving = 0;
-    bool isAnyAwaited = false;
+    bool isAnyPending = false;
     for (ZoneEngines const& zone : zones) {
         lasting += zone.lasting;
         serving += zone.reclaimable;
-        isAnyAwaited = isAnyAwaited || isAwaited(offer, { zone.availabilityZone, EngineKind::Reclaimable }, reclaimable.at(zone.availabilityZone), zone.reclaimable, now);
+        isAnyPending = isAnyPending || isPending(offer, { zone.availabilityZone, EngineKind::Reclaimable }, reclaimable.at(zone.availabilityZone), zone.reclaimable, now);
     }
     std::uint32_t needed = std::max(m_size->lasting, m_size->strained - std::min(m_size->strained, serving));
     // Before the first requests it is enough that these would be served.
-    std::uint32_t meanwhile = m_size->isDemandKnown ? m_size->wanted : m_size->strained;
-    if (isAnyAwaited)
-        needed = std::max(needed, std::min(lasting, meanwhile - std::min(meanwhile, serving)));
+    std::uint32_t interim = m_size->isDemandKnown ? m_size->wanted : m_size->strained;
+    if (isAnyPending)
+        needed = std::max(needed, std::min(lasting, interim - std::min(interim, serving)));
     return needed;
 }
 
 std::vector<EngineOrder> FleetSizer::plan(EngineOffer const& offer, std::vector<ZoneEngines> const& zones, std::optional<double> demand, Time now)
 {
-    std::uint32_t found = std::accumulate(zones.begin(), zones.end(), 0U, [](std::uint32_t sum, ZoneEngines const& it) { return sum + it.lasting + it.reclaimable; });
-    if (!m_size && !isSettled(found, now))
+    std::uint32_t listed = std::accumulate(zones.begin(), zones.end(), 0U, [](std::uint32_t sum, ZoneEngines const& it) { return sum + it.lasting + it.reclaimable; });
+    if (!m_size && !isSettled(listed, now))
         return {};
-    follow(offer, zones, demand, now);
-    std::vector<std::string> names = byPrice(offer, zones);
+    updateSize(offer, zones, demand, now);
+    std::vector<std::string> names = namesByPrice(offer, zones);
     Counts reclaimable = spreadReclaimable(offer, names);
     Counts lasting = spreadLasting(offer, zones, names, reclaimable, lastingNeeded(offer, zones, reclaimable, now));
     std::vector<EngineOrder> orders;
@@ -228,23 +228,23 @@
     return orders;
 }
 
-void FleetSizer::addOrder(std::vector<EngineOrder>& orders, EngineOffer const& offer, EngineOrder const& order, std::uint32_t standing, Time now) const
+void FleetSizer::addOrder(std::vector<EngineOrder>& orders, EngineOffer const& offer, EngineOrder const& order, std::uint32_t current, Time now) const
 {
     Pool pool { order.availabilityZone, order.kind };
-    std::map<Pool, Ordered>::const_iterator last = m_ordered.find(pool);
-    bool isOnItsWay = last != m_ordered.end() && last->second.count == order.count && now - last->second.at < offer.bootTime + m_settings.listLag;
-    if (order.count != standing && !isOnItsWay && !isScarce(pool, now))
+    std::map<Pool, LastOrder>::const_iterator last = m_lastOrders.find(pool);
+    bool isInFlight = last != m_lastOrders.end() && last->second.count == order.count && now - last->second.at < offer.bootTime + m_settings.listLag;
+    if (order.count != current && !isInFlight && !isScarce(pool, now))
         orders.push_back(order);
 }
 
-void FleetSizer::noteOrdered(EngineOrder const& order, Time now)
+void FleetSizer::recordOrder(EngineOrder const& order, Time now)
 {
-    m_ordered[{ order.availabilityZone, order.kind }] = { order.count, now };
+    m_lastOrders[{ order.availabilityZone, order.kind }] = { order.count, now };
 }
 
-void FleetSizer::noteScarce(EngineOrder const& order, Time now)
+void FleetSizer::recordScarcity(EngineOrder const& order, Time now)
 {
-    m_scarceUntil[{ order.availabilityZone, order.kind }] = now + m_settings.scarceTime;
+    m_scarceUntil[{ order.availabilityZone, order.kind }] = now + m_settings.scarcityRetryDelay;
 }
 
 }
--- a/Libraries/LibRoles/FleetSizer.h
+++ b/Libraries/LibRoles/FleetSizer.h
@@ -35,17 +35,17 @@
     /// Lasting engines alone are to carry this part of the demand, so strained.
     double lastingPart { 0.15 };
     /// Fewer engines are ordered only where this part of them is too many, and has been for `patience`.
-    double leastSurplus { 0.2 };
+    double minSurplusShare { 0.2 };
     std::chrono::milliseconds patience { 15'000 };
     /// More are ordered where this part is missing, once that has been so for `alertTime`: the first requests say little of a rate.
-    double leastShortage { 0.35 };
-    std::chrono::milliseconds alertTime { 2'000 };
+    double minShortageShare { 0.35 };
+    std::chrono::milliseconds shortagePatience { 2'000 };
     /// Before the first order the list of engines must have stayed the same for this long: they list themselves one by one.
-    std::chrono::milliseconds settle { 600 };
+    std::chrono::milliseconds stabilisationTime { 600 };
     /// An order is sent again where the list still shows another number so long after new engines should serve.
     std::chrono::milliseconds listLag { 3'000 };
     /// Where none were to be had it is asked again after this.
-    std::chrono::milliseconds scarceTime { 2'000 };
+    std::chrono::milliseconds scarcityRetryDelay { 2'000 };
 
     bool operator==(FleetSizerSettings const&) const = default;
 };
@@ -103,10 +103,10 @@
     void adopt(EngineOffer const&, double demand);
 
     /// Notes that an order was accepted.
-    void noteOrdered(EngineOrder const&, Time now);
+    void recordOrder(EngineOrder const&, Time now);
 
     /// Notes that none of the kind were to be had in the zone.
-    void noteScarce(EngineOrder const&, Time now);
+    void recordScarcity(EngineOrder const&, Time now);
 
     /// Returns the size for a demand.
     FleetSize sizeFor(EngineOffer const&, double demand) const;
@@ -120,7 +120,7 @@
 private:
     using Pool = std::pair<std::string, EngineKind>; ///< An availability zone's engines of one kind.
 
-    struct Ordered {
+    struct LastOrder {
         std::uint32_t count { 0 };
         Time at;
     };
@@ -128,24 +128,24 @@
     using Counts = std::map<std::string, std::uint32_t>; ///< By availability zone.
 
     double demandFor(std::uint32_t engines, double price) const;
-    double demandThatFits(EngineOffer const&, std::vector<ZoneEngines> const&) const;
-    void follow(EngineOffer const&, std::vector<ZoneEngines> const&, std::optional<double> demand, Time now);
-    bool isSettled(std::uint32_t found, Time now);
+    double demandMatchedBy(EngineOffer const&, std::vector<ZoneEngines> const&) const;
+    void updateSize(EngineOffer const&, std::vector<ZoneEngines> const&, std::optional<double> demand, Time now);
+    bool isSettled(std::uint32_t listed, Time now);
     Counts spreadReclaimable(EngineOffer const&, std::vector<std::string> const& names) const;
     Counts spreadLasting(EngineOffer const&, std::vector<ZoneEngines> const&, std::vector<std::string> const& names, Counts const& reclaimable, std::uint32_t total) const;
     std::uint32_t lastingNeeded(EngineOffer const&, std::vector<ZoneEngines> const&, Counts const& reclaimable, Time now) const;
-    void addOrder(std::vector<EngineOrder>&, EngineOffer const&, EngineOrder const&, std::uint32_t standing, Time now) const;
+    void addOrder(std::vector<EngineOrder>&, EngineOffer const&, EngineOrder const&, std::uint32_t current, Time now) const;
     bool isScarce(Pool const&, Time now) const;
-    bool isAwaited(EngineOffer const&, Pool const&, std::uint32_t wanted, std::uint32_t standing, Time now) const;
+    bool isPending(EngineOffer const&, Pool const&, std::uint32_t wanted, std::uint32_t current, Time now) const;
 
     FleetSizerSettings m_settings;
     SizeRule m_rule;
     std::optional<FleetSize> m_size;
-    std::optional<Time> m_unfitSince; ///< Since when the size has been too small or too large for the demand.
+    std::optional<Time> m_outOfToleranceSince; ///< Since when the size has been too small or too large for the demand.
     bool m_isShort { false }; ///< Of the two, too small.
-    std::optional<std::uint32_t> m_found; ///< Engines listed before the first plan,
-    Time m_foundAt; ///< and since when as many.
-    std::map<Pool, Ordered> m_ordered;
+    std::optional<std::uint32_t> m_listedCount; ///< Engines listed before the first plan,
+    Time m_listedSince; ///< and since when as many.
+    std::map<Pool, LastOrder> m_lastOrders;
     std::map<Pool, Time> m_scarceUntil;
 };
 
--- a/Libraries/LibRoles/FleetView.h
+++ b/Libraries/LibRoles/FleetView.h
@@ -35,7 +35,7 @@
     std::uint32_t running { 0 };
     std::uint32_t waitingPromptTokens { 0 };
     /// The platform can take all engines of one group back at once; 0: this one alone may be lost.
-    std::uint32_t lossGroup { 0 };
+    std::uint32_t failureDomain { 0 };
     bool isLeaving { false }; ///< Down for good: no other engine need wait for it to come back.
     bool isFresh { false }; ///< It has just come, so a change of its role takes away nothing that others count on.
     double slowness { 1 }; ///< How many times as long as others it takes for what it does now.
--- a/Libraries/LibRoles/MixEstimator.cpp
+++ b/Libraries/LibRoles/MixEstimator.cpp
@@ -11,32 +11,32 @@
 {
 }
 
-void MixEstimator::blend(Rates& rates, MixCounts const& counts, double seconds, double constant)
+void MixEstimator::updateAverages(Rates& rates, MixCounts const& counts, double seconds, double timeConstant)
 {
-    double kept = std::exp(-seconds / constant);
+    double decay = std::exp(-seconds / timeConstant);
     for (std::size_t i = 0; i < counts.size(); ++i) {
-        rates.requests[i] = kept * rates.requests[i] + (1 - kept) * counts[i].requests / seconds;
-        rates.promptTokens[i] = kept * rates.promptTokens[i] + (1 - kept) * counts[i].promptTokens / seconds;
+        rates.requests[i] = decay * rates.requests[i] + (1 - decay) * counts[i].requests / seconds;
+        rates.promptTokens[i] = decay * rates.promptTokens[i] + (1 - decay) * counts[i].promptTokens / seconds;
     }
-    rates.weight = kept * rates.weight + (1 - kept);
+    rates.weight = decay * rates.weight + (1 - decay);
 }
 
 void MixEstimator::add(MixCounts const& counts, double seconds)
 {
-    constexpr double outputsRemembered = 100;
-    blend(m_fast, counts, seconds, m_settings.fastSeconds);
-    blend(m_slow, counts, seconds, m_settings.slowSeconds);
+    constexpr double outputAverageRequests = 100;
+    updateAverages(m_fast, counts, seconds, m_settings.fastSeconds);
+    updateAverages(m_slow, counts, seconds, m_settings.slowSeconds);
     for (std::size_t i = 0; i < counts.size(); ++i) {
         if (counts[i].endedRequests <= 0)
             continue;
-        double kept = std::exp(-counts[i].endedRequests / outputsRemembered);
-        m_outputPerRequest[i] = kept * m_outputPerRequest[i] + (1 - kept) * counts[i].outputTokens / counts[i].endedRequests;
+        double decay = std::exp(-counts[i].endedRequests / outputAverageRequests);
+        m_outputPerRequest[i] = decay * m_outputPerRequest[i] + (1 - decay) * counts[i].outputTokens / counts[i].endedRequests;
     }
-    m_seconds += seconds;
-    followPhase(seconds);
+    m_observedSeconds += seconds;
+    trackPhase(seconds);
 }
 
-void MixEstimator::followPhase(double seconds)
+void MixEstimator::trackPhase(double seconds)
 {
     constexpr double newPhaseWeight = 0.6;
     m_phaseSeconds += seconds;
@@ -53,8 +53,8 @@
 double MixEstimator::remainingSeconds() const
 {
     // A phase that has outlasted the mean says that phases are longer than thought.
-    constexpr double leastShare = 0.25;
-    return std::max(m_meanPhaseSeconds - m_phaseSeconds, leastShare * std::max(m_meanPhaseSeconds, m_phaseSeconds));
+    constexpr double minRemainingShare = 0.25;
+    return std::max(m_meanPhaseSeconds - m_phaseSeconds, minRemainingShare * std::max(m_meanPhaseSeconds, m_phaseSeconds));
 }
 
 Demand MixEstimator::demand(Rates const& rates) const
@@ -70,9 +70,9 @@
 
 double MixEstimator::share(Rates const& rates) const
 {
-    Demand it = demand(rates);
-    double prefill = (it[0].promptTokens + it[1].promptTokens) / m_rates.prefillTokensPerSecond;
-    double decode = (it[0].outputTokens + it[1].outputTokens) / m_rates.decodeTokensPerSecond;
+    Demand estimate = demand(rates);
+    double prefill = (estimate[0].promptTokens + estimate[1].promptTokens) / m_rates.prefillTokensPerSecond;
+    double decode = (estimate[0].outputTokens + estimate[1].outputTokens) / m_rates.decodeTokensPerSecond;
     return prefill + decode > 0 ? prefill / (prefill + decode) : 0;
 }
 
--- a/Libraries/LibRoles/MixEstimator.h
+++ b/Libraries/LibRoles/MixEstimator.h
@@ -35,7 +35,7 @@
     double remainingSeconds() const;
 
     /// Seconds of counts taken in so far.
-    double seenSeconds() const { return m_seconds; }
+    double observedSeconds() const { return m_observedSeconds; }
 
 private:
     struct Rates {
@@ -44,17 +44,17 @@
         double weight { 0 }; ///< Corrects the start of the exponential average.
     };
 
-    static void blend(Rates&, MixCounts const&, double seconds, double constant);
+    static void updateAverages(Rates&, MixCounts const&, double seconds, double timeConstant);
     Demand demand(Rates const&) const;
     double share(Rates const&) const;
-    void followPhase(double seconds);
+    void trackPhase(double seconds);
 
     Settings m_settings;
     EngineRates m_rates;
     Rates m_fast;
     Rates m_slow;
     std::array<double, 2> m_outputPerRequest { 300, 150 };
-    double m_seconds { 0 };
+    double m_observedSeconds { 0 };
     double m_phaseSeconds { 0 };
     double m_meanPhaseSeconds;
     int m_side { 0 };
--- a/Libraries/LibRoles/Planner.cpp
+++ b/Libraries/LibRoles/Planner.cpp
@@ -24,13 +24,13 @@
 }
 
 // Engines that may move, the cheapest first: the least charge, then the least work to drain.
-std::vector<EngineView> movable(std::vector<EngineView> const& engines, bool toPrefill, TargetRole outputRole)
+std::vector<EngineView> movableEngines(std::vector<EngineView> const& engines, bool toPrefill, TargetRole outputRole)
 {
-    std::vector<EngineView> found;
+    std::vector<EngineView> candidates;
     for (EngineView const& it : engines) {
         bool isOnOtherSide = decodes(it.role) == toPrefill;
         if (it.state == EngineState::Serving && isOnOtherSide && roleAfter(it, toPrefill, outputRole))
-            found.push_back(it);
+            candidates.push_back(it);
     }
     auto isCheaper = [](EngineView const& a, EngineView const& b) {
         if (a.changeCostSeconds != b.changeCostSeconds)
@@ -39,8 +39,8 @@
         std::uint32_t workB = b.running + b.waitingPromptTokens;
         return workA != workB ? workA < workB : a.engine < b.engine;
     };
-    std::sort(found.begin(), found.end(), isCheaper);
-    return found;
+    std::sort(candidates.begin(), candidates.end(), isCheaper);
+    return candidates;
 }
 
 std::size_t countServing(std::vector<EngineView> const& engines, bool prefill)
@@ -92,22 +92,22 @@
     return Planner(settings);
 }
 
-double Planner::value(Split const& split) const
+double Planner::requestsOverHorizon(Split const& split) const
 {
     double remaining = std::min(m_mix.remainingSeconds(), m_settings.horizonSeconds);
-    return remaining * goodRequestsPerSecond(m_mix.now(), split, m_settings.rates)
-        + (m_settings.horizonSeconds - remaining) * goodRequestsPerSecond(m_mix.average(), split, m_settings.rates);
+    return remaining * estimateGoodput(m_mix.now(), split, m_settings.rates)
+        + (m_settings.horizonSeconds - remaining) * estimateGoodput(m_mix.average(), split, m_settings.rates);
 }
 
 double Planner::bestPrefillOnAverage(double engines) const
 {
     Demand average = m_mix.average();
     double best = 0;
-    double most = -1;
+    double bestGoodput = -1;
     for (double n = 0; n < engines; ++n) {
-        double good = goodRequestsPerSecond(average, { n, 0, engines - n }, m_settings.rates);
-        if (good > most) {
-            most = good;
+        double goodput = estimateGoodput(average, { n, 0, engines - n }, m_settings.rates);
+        if (goodput > bestGoodput) {
+            bestGoodput = goodput;
             best = n;
         }
     }
@@ -115,35 +115,35 @@
 }
 
 // How many engines should join prefill (above 0) or leave it (below 0), by the expected gain in requests.
-int Planner::wantedMoves(FleetView const& view, Split const& split, double& gain) const
+int Planner::bestMoves(FleetView const& view, Split const& split, double& gain) const
 {
     double secondsLost = m_settings.changeSeconds + m_settings.drainSeconds;
     double engines = split.prefill + split.decode + split.mixed;
     Demand demand = m_mix.now();
     // What an engine-second is worth at this demand.
-    double worth = goodRequestsPerSecond(demand, split, m_settings.rates) / std::max(1.0, engines);
-    double present = value(split);
-    double home = bestPrefillOnAverage(engines);
-    double least = m_settings.leastGainShare * present;
+    double requestsPerEngineSecond = estimateGoodput(demand, split, m_settings.rates) / std::max(1.0, engines);
+    double currentRequests = requestsOverHorizon(split);
+    double averageBestPrefill = bestPrefillOnAverage(engines);
+    double minGain = m_settings.minGainShare * currentRequests;
     int best = 0;
     gain = 0;
     for (bool toPrefill : { false, true }) {
         double cost = 0;
         int moves = 0;
         Split moved = split;
-        for (EngineView const& it : movable(view.engines, toPrefill, m_settings.outputRole)) {
+        for (EngineView const& it : movableEngines(view.engines, toPrefill, m_settings.outputRole)) {
             ++moves;
             // A move away from what suits the average will have to be undone: its cost comes twice.
-            bool isAway = toPrefill ? moved.prefill >= home : moved.prefill <= home;
-            cost += (isAway ? 2 : 1) * worth * (secondsLost + it.changeCostSeconds);
+            bool isAwayFromAverage = toPrefill ? moved.prefill >= averageBestPrefill : moved.prefill <= averageBestPrefill;
+            cost += (isAwayFromAverage ? 2 : 1) * requestsPerEngineSecond * (secondsLost + it.changeCostSeconds);
             TargetRole role = *roleAfter(it, toPrefill, m_settings.outputRole);
             double& from = it.role == TargetRole::Prefill ? moved.prefill : (it.role == TargetRole::Decode ? moved.decode : moved.mixed);
             double& to = role == TargetRole::Prefill ? moved.prefill : (role == TargetRole::Decode ? moved.decode : moved.mixed);
             from -= 1;
             to += 1;
-            double net = value(moved) - present - m_settings.margin * cost - least;
-            if (net > gain) {
-                gain = net;
+            double netGain = requestsOverHorizon(moved) - currentRequests - m_settings.margin * cost - minGain;
+            if (netGain > gain) {
+                gain = netGain;
                 best = toPrefill ? moves : -moves;
             }
         }
@@ -154,11 +154,11 @@
 std::vector<RoleChange> Planner::plan(FleetView const& view)
 {
     m_mix.add(view.counts, view.windowSeconds);
-    if (m_settings.policy == Policy::Fixed || m_mix.seenSeconds() < m_settings.warmUpSeconds)
+    if (m_settings.policy == Policy::Fixed || m_mix.observedSeconds() < m_settings.warmUpSeconds)
         return {};
     Split split = splitOf(view.engines);
     double gain = 0;
-    int moves = m_settings.policy == Policy::Threshold ? m_threshold.decide(m_mix.now(), split, view.windowSeconds) : wantedMoves(view, split, gain);
+    int moves = m_settings.policy == Policy::Threshold ? m_threshold.decide(m_mix.now(), split, view.windowSeconds) : bestMoves(view, split, gain);
     return chooseEngines(view, moves, m_settings, gain);
 }
 
@@ -168,15 +168,15 @@
         return {};
     bool toPrefill = moves > 0;
     std::size_t changing = countChanging(view.engines);
-    std::size_t free = settings.maxChanging > changing ? settings.maxChanging - changing : 0;
+    std::size_t freeSlots = settings.maxChanging > changing ? settings.maxChanging - changing : 0;
     std::size_t serving = countServing(view.engines, !toPrefill);
-    std::size_t kept = toPrefill ? settings.minOutput : settings.minPrefill;
-    std::size_t spare = serving > kept ? serving - kept : 0;
-    std::size_t most = std::min({ static_cast<std::size_t>(std::abs(moves)), free, spare });
+    std::size_t minServing = toPrefill ? settings.minOutput : settings.minPrefill;
+    std::size_t spare = serving > minServing ? serving - minServing : 0;
+    std::size_t maxMoves = std::min({ static_cast<std::size_t>(std::abs(moves)), freeSlots, spare });
 
     std::vector<RoleChange> changes;
-    for (EngineView const& it : movable(view.engines, toPrefill, settings.outputRole)) {
-        if (changes.size() == most)
+    for (EngineView const& it : movableEngines(view.engines, toPrefill, settings.outputRole)) {
+        if (changes.size() == maxMoves)
             break;
         changes.push_back({ it.engine, *roleAfter(it, toPrefill, settings.outputRole), gain });
     }
--- a/Libraries/LibRoles/Planner.h
+++ b/Libraries/LibRoles/Planner.h
@@ -26,8 +26,8 @@
 private:
     explicit Planner(Settings const&);
 
-    int wantedMoves(FleetView const&, Split const&, double& gain) const;
-    double value(Split const&) const;
+    int bestMoves(FleetView const&, Split const&, double& gain) const;
+    double requestsOverHorizon(Split const&) const;
     double bestPrefillOnAverage(double engines) const;
 
     Settings m_settings;
--- a/Libraries/LibRoles/Settings.h
+++ b/Libraries/LibRoles/Settings.h
@@ -34,7 +34,7 @@
     double warmUpSeconds { 10 }; ///< No change before this much was counted.
 
     double horizonSeconds { 120 }; ///< Planner: how far gains are counted.
-    double leastGainShare { 0.02 }; ///< Planner: and so much of all requests over the horizon, since estimates err.
+    double minGainShare { 0.02 }; ///< Planner: and so much of all requests over the horizon, since estimates err.
     double margin { 1.5 }; ///< Planner: a change must gain this many times its cost.
 
     double pressureRatio { 1.5 }; ///< Threshold: how much busier one side must be.
--- a/Libraries/LibRoles/SplitRule.h
+++ b/Libraries/LibRoles/SplitRule.h
@@ -23,20 +23,20 @@
     double decodeShare { 0.25 };
     /// Prompts wait for one another while outputs run side by side, so that prompts need this much more room for the same
     /// delay: at 0.7 of what a single server can do, waiting takes as long as the work, and a fourth more room halves that.
-    double promptRoom { 1.25 };
+    double promptHeadroom { 1.25 };
     /// Engines change only where the busier side then has this much less to do, as a part: less is within what the
     /// estimates err, and a change takes an engine away for seconds.
-    double leastRelief { 0.12 };
+    double minImprovement { 0.12 };
     /// A change that follows the demand moves this part of the engines at most, one at least, and the next waits until its
     /// effect is seen: a mix that swings to and fro is met half-way.
-    double mostMoved { 0.1 };
+    double maxMovedShare { 0.1 };
     /// Once the split follows the demand, it changes only when a side has this part of what it can do, or more. Mixes swing:
     /// an engine that makes long outputs is back some ten seconds after its order, when the mix may have swung back.
-    double pressed { 0.9 };
+    double pressureThreshold { 0.9 };
     std::uint32_t leastDecode { 2 }; ///< The loss of one leaves one; so many are left, too, when one group is lost at once.
     std::uint32_t leastPrefill { 1 };
     /// Before the first plan, the list of engines must not have changed for this long: they list themselves one by one.
-    std::chrono::milliseconds settle { 600 };
+    std::chrono::milliseconds stabilisationTime { 600 };
     /// A side that is short must stay so for this long: engines often come back within seconds, and a change takes
     /// its engine out of service for as long.
     std::chrono::milliseconds patience { 2'500 };
@@ -45,7 +45,7 @@
     std::chrono::milliseconds firstPatience { 3'000 };
     /// A side without any engine ends all work, so it is filled sooner; so is one that has too few although none of its engines may
     /// come back.
-    std::chrono::milliseconds emptyPatience { 400 };
+    std::chrono::milliseconds urgentPatience { 400 };
 };
 
 /// Keeps a fleet of engines, each either prefill or decode, at the split that leaves the busier side the most room: by a fixed
@@ -68,7 +68,7 @@
 
     /// Returns how busy the busier side is with so many engines that decode when it loses one of them: 1 means that it can just
     /// do its work.
-    double busiest(std::size_t engines, std::size_t decoding, SplitDemand const&) const;
+    double peakUtilisation(std::size_t engines, std::size_t decoding, SplitDemand const&) const;
 
 private:
     /// Engines of either role; `Down` ones apart.
@@ -81,22 +81,22 @@
         std::uint32_t total() const { return prefill + decode; }
     };
 
-    Counts count(std::vector<EngineView> const&);
-    std::size_t leastDecoding(std::size_t engines) const;
-    std::size_t mostDecoding(std::size_t engines) const;
+    Counts countEngines(std::vector<EngineView> const&);
+    std::size_t minDecoding(std::size_t engines) const;
+    std::size_t maxDecoding(std::size_t engines) const;
     bool isUrgent(Counts const&) const;
-    std::vector<RoleChange> assignFresh(std::vector<EngineView> const&, std::uint32_t decode, SplitDemand const&, std::size_t total);
-    static std::vector<RoleChange> choose(std::vector<EngineView> const&, std::vector<EngineView> fit, TargetRole to, std::uint32_t count);
-    bool isPressed(std::size_t engines, std::size_t decoding, SplitDemand const&) const;
+    std::vector<RoleChange> assignNewEngines(std::vector<EngineView> const&, std::uint32_t decode, SplitDemand const&, std::size_t total);
+    static std::vector<RoleChange> selectEngines(std::vector<EngineView> const&, std::vector<EngineView> eligible, TargetRole to, std::uint32_t count);
+    bool isUnderPressure(std::size_t engines, std::size_t decoding, SplitDemand const&) const;
     bool isDue(std::size_t listed, Counts const&, std::uint32_t wanted, bool isDemandKnown, Time now);
 
     SplitSettings m_settings;
-    std::size_t m_engines { 0 };
-    std::size_t m_groups { 0 }; ///< Of engines that can be lost at once.
-    std::optional<Time> m_changedAt; ///< When the number of engines last changed.
-    std::optional<Time> m_shortSince; ///< Since when the split has not been as wanted.
+    std::size_t m_listedCount { 0 };
+    std::size_t m_failureDomains { 0 }; ///< Of engines that can be lost at once.
+    std::optional<Time> m_listChangedAt; ///< When the number of engines last changed.
+    std::optional<Time> m_mismatchSince; ///< Since when the split has not been as wanted.
     bool m_hasPlanned { false };
-    std::optional<Time> m_knownSince; ///< Since when the demand is known.
+    std::optional<Time> m_demandKnownSince; ///< Since when the demand is known.
     bool m_hasFollowedDemand { false }; ///< The split has once been what a known demand wants, after its patience.
 };
 
--- a/Tests/LibRoles/TestFleetSizer.cpp
+++ b/Tests/LibRoles/TestFleetSizer.cpp
@@ -27,9 +27,9 @@
 }
 
 /// A platform that carries orders out.
-class Site {
+class FakePlatform {
 public:
-    explicit Site(std::uint32_t lastingPerZone)
+    explicit FakePlatform(std::uint32_t lastingPerZone)
     {
         for (std::string const& zone : { std::string("a"), std::string("b"), std::string("c") })
             m_pools[{ zone, EngineKind::Lasting }].serving = lastingPerZone;
@@ -38,7 +38,7 @@
     }
 
     /// Plays for a time, a step at a time. Returns the least number that served.
-    std::uint32_t play(std::chrono::milliseconds duration, std::optional<double> demand)
+    std::uint32_t run(std::chrono::milliseconds duration, std::optional<double> demand)
     {
         constexpr std::chrono::milliseconds step = 100ms;
         std::uint32_t least = UINT32_MAX;
@@ -47,7 +47,7 @@
             for (std::pair<Key const, Pool>& it : m_pools)
                 advance(it.second);
             for (EngineOrder const& order : sizer.plan(offer, zones(), demand, m_now))
-                carryOut(order);
+                execute(order);
             least = std::min(least, serving());
             engineSeconds += cost() * std::chrono::duration<double>(step).count();
         }
@@ -55,11 +55,11 @@
     }
 
     /// Takes all cheap engines of a zone back; for a time there are no others there, or nowhere.
-    void reclaim(std::string const& zone, std::chrono::milliseconds scarce, bool isNowhere = false)
+    void reclaim(std::string const& zone, std::chrono::milliseconds scarce, bool isEverywhere = false)
     {
         m_pools[{ zone, EngineKind::Reclaimable }] = {};
         for (std::pair<Key const, Pool>& it : m_pools) {
-            if (it.first.second == EngineKind::Reclaimable && (isNowhere || it.first.first == zone))
+            if (it.first.second == EngineKind::Reclaimable && (isEverywhere || it.first.first == zone))
                 it.second.scarceUntil = m_now + scarce;
         }
     }
@@ -93,7 +93,7 @@
     EngineOffer offer = makeOffer();
     double engineSeconds { 0 };
     std::size_t orders { 0 };
-    bool losesOrders { false }; ///< The platform accepts what it does not carry out.
+    bool dropsOrders { false }; ///< The platform accepts what it does not carry out.
 
 private:
     using Key = std::pair<std::string, EngineKind>;
@@ -111,16 +111,16 @@
             pool.serving = pool.wanted;
     }
 
-    void carryOut(EngineOrder const& order)
+    void execute(EngineOrder const& order)
     {
         ++orders;
         Pool& pool = m_pools[{ order.availabilityZone, order.kind }];
         if (order.count > pool.serving && m_now < pool.scarceUntil) {
-            sizer.noteScarce(order, m_now);
+            sizer.recordScarcity(order, m_now);
             return;
         }
-        sizer.noteOrdered(order, m_now);
-        if (losesOrders)
+        sizer.recordOrder(order, m_now);
+        if (dropsOrders)
             return;
         pool.isOrdered = true;
         pool.wanted = order.count;
@@ -134,130 +134,130 @@
 
 }
 
-TEST(FleetSizer, MostEnginesAreOfTheCheapKindAndNoneGoesBeforeAnotherServes)
+TEST(FleetSizer, MostEnginesAreReclaimableAndNoneStopsBeforeItsReplacementServes)
 {
-    Site site(10);
+    FakePlatform platform(10);
     // Before the first requests those that could serve them stay.
-    EXPECT_GE(site.play(20s, std::nullopt), 16U);
-    EXPECT_GE(site.count(EngineKind::Reclaimable), 25U);
-    EXPECT_LT(site.cost(), 0.7 * 31);
+    EXPECT_GE(platform.run(20s, std::nullopt), 16U);
+    EXPECT_GE(platform.count(EngineKind::Reclaimable), 25U);
+    EXPECT_LT(platform.cost(), 0.7 * 31);
     // What can be lost at once leaves enough.
-    std::vector<ZoneEngines> zones = site.zones();
+    std::vector<ZoneEngines> zones = platform.zones();
     std::uint32_t largest = 0;
     for (ZoneEngines const& zone : zones)
         largest = std::max(largest, zone.reclaimable);
-    EXPECT_GE(site.serving() - largest, site.sizer.size()->strained);
-    EXPECT_LT(site.orders, 15U);
+    EXPECT_GE(platform.serving() - largest, platform.sizer.size()->strained);
+    EXPECT_LT(platform.orders, 15U);
     // Under load all do.
-    Site busy(10);
-    EXPECT_GE(busy.play(20s, 13.0), 30U);
-    EXPECT_LE(busy.count(EngineKind::Lasting), 6U);
+    FakePlatform loaded(10);
+    EXPECT_GE(loaded.run(20s, 13.0), 30U);
+    EXPECT_LE(loaded.count(EngineKind::Lasting), 6U);
 }
 
 // Guards against a zone's cheap engines taken back in the middle of a burst.
-TEST(FleetSizer, AZoneThatIsTakenBackDuringABurstLeavesEnough)
+TEST(FleetSizer, ReclaimingAZoneDuringABurstLeavesEnoughEngines)
 {
-    Site site(10);
-    site.play(20s, std::nullopt);
-    site.play(5s, 13.0);
-    site.play(3s, 18.0);
-    site.reclaim("b", 9s, true);
-    EXPECT_GE(site.play(9s, 18.0), 18U);
+    FakePlatform platform(10);
+    platform.run(20s, std::nullopt);
+    platform.run(5s, 13.0);
+    platform.run(3s, 18.0);
+    platform.reclaim("b", 9s, true);
+    EXPECT_GE(platform.run(9s, 18.0), 18U);
     // And then the next one, before the first is back.
-    site.reclaim("c", 9s);
-    EXPECT_GE(site.play(9s, 18.0), 12U);
-    site.play(10s, 18.0);
-    EXPECT_GE(site.serving(), 40U);
+    platform.reclaim("c", 9s);
+    EXPECT_GE(platform.run(9s, 18.0), 12U);
+    platform.run(10s, 18.0);
+    EXPECT_GE(platform.serving(), 40U);
 }
 
 // Guards against asking again and again where none are to be had, and against having none at all.
-TEST(FleetSizer, WhereNoneAreToBeHadLastingOnesCarryTheDemand)
+TEST(FleetSizer, LastingEnginesServeTheDemandDuringScarcity)
 {
-    Site site(10);
-    site.play(20s, std::nullopt);
+    FakePlatform platform(10);
+    platform.run(20s, std::nullopt);
     for (std::string const& zone : { std::string("a"), std::string("b"), std::string("c") })
-        site.reclaim(zone, 30s, true);
-    std::size_t before = site.orders;
-    site.play(10s, 13.0);
-    EXPECT_GE(site.serving(), site.sizer.size()->strained);
-    EXPECT_LT(site.orders - before, 25U);
+        platform.reclaim(zone, 30s, true);
+    std::size_t before = platform.orders;
+    platform.run(10s, 13.0);
+    EXPECT_GE(platform.serving(), platform.sizer.size()->strained);
+    EXPECT_LT(platform.orders - before, 25U);
     // They go when the cheap ones are back.
-    site.play(40s, 13.0);
-    EXPECT_LE(site.count(EngineKind::Lasting), site.sizer.size()->lasting + 3);
+    platform.run(40s, 13.0);
+    EXPECT_LE(platform.count(EngineKind::Lasting), platform.sizer.size()->lasting + 3);
 }
 
 // Guards against lasting engines that are ordered in place of cheap ones which serve, and so make more of them needed.
-TEST(FleetSizer, WhatReplacesALossTakesNoPlaceOfWhatIsLeft)
+TEST(FleetSizer, ReplacementsDoNotDisplaceRemainingEngines)
 {
-    Site site(10);
-    site.offer.mostPerZone = 18;
-    site.play(20s, std::nullopt);
-    std::uint32_t before = site.zones()[0].reclaimable;
+    FakePlatform platform(10);
+    platform.offer.mostPerZone = 18;
+    platform.run(20s, std::nullopt);
+    std::uint32_t before = platform.zones()[0].reclaimable;
     ASSERT_GE(before, 12U);
     for (std::string const& zone : { std::string("b"), std::string("c") })
-        site.reclaim(zone, 30s, true);
-    site.play(10s, 24.0);
-    EXPECT_EQ(site.zones()[0].reclaimable, before);
-    EXPECT_GE(site.serving(), 30U);
-    EXPECT_LT(site.serving(), 40U);
+        platform.reclaim(zone, 30s, true);
+    platform.run(10s, 24.0);
+    EXPECT_EQ(platform.zones()[0].reclaimable, before);
+    EXPECT_GE(platform.serving(), 30U);
+    EXPECT_LT(platform.serving(), 40U);
 }
 
 // Guards against orders that are accepted and not carried out, or undone by an older one that comes late.
-TEST(FleetSizer, WhatStandsIsReadAndNotBelieved)
+TEST(FleetSizer, UsesTheListedEnginesRatherThanAcceptedOrders)
 {
-    Site site(10);
-    site.losesOrders = true;
-    site.play(8s, std::nullopt);
-    EXPECT_EQ(site.serving(), 30U);
-    site.losesOrders = false;
-    site.play(20s, std::nullopt);
-    EXPECT_GE(site.count(EngineKind::Reclaimable), 25U);
+    FakePlatform platform(10);
+    platform.dropsOrders = true;
+    platform.run(8s, std::nullopt);
+    EXPECT_EQ(platform.serving(), 30U);
+    platform.dropsOrders = false;
+    platform.run(20s, std::nullopt);
+    EXPECT_GE(platform.count(EngineKind::Reclaimable), 25U);
 }
 
 // Guards against a new holder that takes a fleet which has just lost a zone for what the operators want.
-TEST(FleetSizer, ANewHolderGoesByTheDemand)
+TEST(FleetSizer, ANewLeaseHolderSizesByTheDemand)
 {
-    Site site(10);
-    site.play(20s, std::nullopt);
-    site.play(5s, 13.0);
-    std::uint32_t before = site.serving();
-    site.reclaim("b", 5s);
-    site.sizer = FleetSizer();
-    site.play(20s, 13.0);
-    EXPECT_GE(site.serving() + 3, before);
+    FakePlatform platform(10);
+    platform.run(20s, std::nullopt);
+    platform.run(5s, 13.0);
+    std::uint32_t before = platform.serving();
+    platform.reclaim("b", 5s);
+    platform.sizer = FleetSizer();
+    platform.run(20s, 13.0);
+    EXPECT_GE(platform.serving() + 3, before);
 }
 
-TEST(FleetSizer, ADemandThatFallsToNothingLeavesFewAndOneThatSwingsChangesLittle)
+TEST(FleetSizer, ScalesDownOnNoDemandAndIgnoresSmallFluctuations)
 {
-    Site site(10);
-    site.play(20s, std::nullopt);
-    std::size_t before = site.orders;
+    FakePlatform platform(10);
+    platform.run(20s, std::nullopt);
+    std::size_t before = platform.orders;
     for (int n = 0; n < 10; ++n) {
-        site.play(3s, 12.0);
-        site.play(3s, 14.0);
+        platform.run(3s, 12.0);
+        platform.run(3s, 14.0);
     }
-    EXPECT_EQ(site.orders, before);
-    site.play(60s, 0.1);
-    EXPECT_LE(site.serving(), 6U);
+    EXPECT_EQ(platform.orders, before);
+    platform.run(60s, 0.1);
+    EXPECT_LE(platform.serving(), 6U);
 }
 
-TEST(FleetSizer, WithoutCheapOnesTheNumberFollowsTheDemand)
+TEST(FleetSizer, WithoutReclaimableEnginesTheCountFollowsTheDemand)
 {
-    Site site(10);
-    site.offer.reclaimablePrice.reset();
-    site.play(10s, std::nullopt);
-    EXPECT_EQ(site.serving(), 30U);
-    site.play(30s, 20.0);
-    EXPECT_GE(site.serving(), 40U);
-    EXPECT_EQ(site.count(EngineKind::Reclaimable), 0U);
+    FakePlatform platform(10);
+    platform.offer.reclaimablePrice.reset();
+    platform.run(10s, std::nullopt);
+    EXPECT_EQ(platform.serving(), 30U);
+    platform.run(30s, 20.0);
+    EXPECT_GE(platform.serving(), 40U);
+    EXPECT_EQ(platform.count(EngineKind::Reclaimable), 0U);
 }
 
-TEST(FleetSizer, SaysWhichDemandPriceAndLossMadeTheSize)
+TEST(FleetSizer, ExplainsTheSizeByDemandPriceAndLoss)
 {
-    Site site(30);
-    EXPECT_EQ(site.sizer.explain(site.offer), "");
-    site.play(20s, 10.0);
-    std::string why = site.sizer.explain(site.offer);
+    FakePlatform platform(30);
+    EXPECT_EQ(platform.sizer.explain(platform.offer), "");
+    platform.run(20s, 10.0);
+    std::string why = platform.sizer.explain(platform.offer);
     EXPECT_NE(why.find("0.25 of a lasting one"), std::string::npos) << why;
     EXPECT_NE(why.find("must be left when one availability zone's reclaimable ones are gone"), std::string::npos) << why;
 }
--- a/Tests/LibRoles/TestMixEstimator.cpp
+++ b/Tests/LibRoles/TestMixEstimator.cpp
@@ -13,7 +13,7 @@
 
 }
 
-TEST(MixEstimator, IsRightFromTheFirstWindow)
+TEST(MixEstimator, IsUnbiasedFromTheFirstWindow)
 {
     MixEstimator mix({}, {});
     for (int i = 0; i < 5; ++i)
@@ -22,7 +22,7 @@
     EXPECT_NEAR(mix.average()[1].promptTokens, 16000, 1e-6);
 }
 
-TEST(MixEstimator, FastFollowsAndSlowRemembers)
+TEST(MixEstimator, FastEstimateTracksWhileSlowEstimateLags)
 {
     MixEstimator mix({}, {});
     for (int i = 0; i < 200; ++i)
@@ -33,7 +33,7 @@
     EXPECT_LT(mix.shareAverage(), 0.5);
 }
 
-TEST(MixEstimator, LearnsHowLongPhasesLast)
+TEST(MixEstimator, LearnsThePhaseLength)
 {
     MixEstimator mix({}, {});
     EXPECT_GE(mix.remainingSeconds(), 200);
--- a/Tests/LibRoles/TestPlanner.cpp
+++ b/Tests/LibRoles/TestPlanner.cpp
@@ -62,7 +62,7 @@
     return changes;
 }
 
-RoleSet drawRoles()
+RoleSet randomRoles()
 {
     RoleSet roles;
     for (auto const& [role, name] : Routing::targetRoleNames)
@@ -72,7 +72,7 @@
 
 }
 
-RC_GTEST_PROP(Planner, KeepsToRolesStatesAndBounds, ())
+RC_GTEST_PROP(Planner, RespectsRolesStatesAndBounds, ())
 {
     Roles::Settings settings;
     settings.policy = Roles::policyNames[*rc::gen::inRange<std::size_t>(0, Roles::policyNames.size())].first;
@@ -86,7 +86,7 @@
     std::uint32_t n = *rc::gen::inRange(1U, 14U);
     for (std::uint32_t i = 0; i < n; ++i) {
         EngineState state = *rc::gen::element(EngineState::Serving, EngineState::Serving, EngineState::Changing, EngineState::Down);
-        view.engines.push_back({ i, Routing::targetRoleNames[*rc::gen::inRange<std::size_t>(0, 3)].first, drawRoles(), state, *rc::gen::element(0.0, 60.0), *rc::gen::inRange(0U, 24U), 0 });
+        view.engines.push_back({ i, Routing::targetRoleNames[*rc::gen::inRange<std::size_t>(0, 3)].first, randomRoles(), state, *rc::gen::element(0.0, 60.0), *rc::gen::inRange(0U, 24U), 0 });
     }
     for (int window = 0; window < 30; ++window) {
         view.counts = *rc::gen::inRange(0, 2) || window < 15 ? longPrompts() : shortPrompts();
@@ -112,7 +112,7 @@
     }
 }
 
-TEST(Planner, FollowsAStepThatLasts)
+TEST(Planner, FollowsASustainedStep)
 {
     for (Policy policy : { Policy::Threshold, Policy::Planner }) {
         Planner planner = makePlanner(policy);
@@ -125,7 +125,7 @@
     }
 }
 
-TEST(Planner, StaysPutOnASteadyMix)
+TEST(Planner, KeepsRolesOnASteadyMix)
 {
     Planner planner = makePlanner(Policy::Planner);
     FleetView view = makeFleet(6, 9);
@@ -133,7 +133,7 @@
     EXPECT_EQ(countChanges(planner, view, 600, [](int) { return longPrompts(); }), 0);
 }
 
-TEST(Planner, LearnsThatASquareWaveDoesNotPay)
+TEST(Planner, LearnsNotToFollowASquareWave)
 {
     Planner planner = makePlanner(Policy::Planner);
     FleetView view = makeFleet(3, 9);
@@ -145,18 +145,18 @@
     EXPECT_GE(countChanges(threshold, view, 800, wave), 30);
 }
 
-TEST(Planner, ChargeOfAChangeHoldsItBack)
+TEST(Planner, ChangeCostPreventsChanges)
 {
     auto wave = [](int now) { return now / 120 % 2 ? longPrompts() : shortPrompts(); };
     Planner cheap = makePlanner(Policy::Planner);
     FleetView view = makeFleet(3, 9);
-    int many = countChanges(cheap, view, 1200, wave);
-    Planner dear = makePlanner(Policy::Planner);
-    FleetView charged = makeFleet(3, 9);
-    for (EngineView& it : charged.engines)
+    int changesWithoutCost = countChanges(cheap, view, 1200, wave);
+    Planner expensive = makePlanner(Policy::Planner);
+    FleetView fleetWithCost = makeFleet(3, 9);
+    for (EngineView& it : fleetWithCost.engines)
         it.changeCostSeconds = 300;
-    EXPECT_GE(many, 10);
-    EXPECT_LE(countChanges(dear, charged, 1200, wave), 2);
+    EXPECT_GE(changesWithoutCost, 10);
+    EXPECT_LE(countChanges(expensive, fleetWithCost, 1200, wave), 2);
 }
 
 TEST(Planner, ChoosesTheCheapestEngines)
@@ -182,17 +182,17 @@
     EXPECT_TRUE(Planner::create(settings).has_error());
 }
 
-RC_GTEST_PROP(Capacity, OneMoreEngineIsNeverWorse, ())
+RC_GTEST_PROP(Capacity, IsMonotonicInEngines, ())
 {
     Roles::Demand demand;
     for (Roles::ClassDemand& it : demand)
         it = { *rc::gen::inRange(0, 100) / 4.0, *rc::gen::inRange(0, 60000) * 1.0, *rc::gen::inRange(0, 9000) * 1.0 };
     Roles::Split split { *rc::gen::inRange(0, 9) * 1.0, *rc::gen::inRange(0, 9) * 1.0, *rc::gen::inRange(0, 9) * 1.0 };
-    double before = Roles::goodRequestsPerSecond(demand, split, {});
+    double before = Roles::estimateGoodput(demand, split, {});
     for (double Roles::Split::* role : { &Roles::Split::prefill, &Roles::Split::decode, &Roles::Split::mixed }) {
         Roles::Split more = split;
         more.*role += 1;
-        RC_ASSERT(Roles::goodRequestsPerSecond(demand, more, {}) >= before - 1e-9);
+        RC_ASSERT(Roles::estimateGoodput(demand, more, {}) >= before - 1e-9);
     }
     RC_ASSERT(before <= demand[0].requests + demand[1].requests + 1e-9);
 }
--- a/Tests/LibRoles/TestSplitRule.cpp
+++ b/Tests/LibRoles/TestSplitRule.cpp
@@ -12,7 +12,7 @@
 constexpr SplitDemand unknown {};
 
 // Engines 0 .. prefill-1 are prefill, those behind decode.
-std::vector<EngineView> fleet(std::uint32_t prefill, std::uint32_t decode)
+std::vector<EngineView> makeFleet(std::uint32_t prefill, std::uint32_t decode)
 {
     std::vector<EngineView> engines;
     for (std::uint32_t n = 0; n < prefill + decode; ++n) {
@@ -25,7 +25,7 @@
     return engines;
 }
 
-SplitRule settled(std::vector<EngineView> const& engines)
+SplitRule makeSettledRule(std::vector<EngineView> const& engines)
 {
     SplitRule rule;
     rule.plan(engines, unknown, start);
@@ -48,29 +48,29 @@
 TEST(SplitRule, TheFirstPlanWaitsUntilAllEnginesAreListed)
 {
     SplitRule rule;
-    EXPECT_TRUE(rule.plan(fleet(2, 3), unknown, start).empty());
-    EXPECT_TRUE(rule.plan(fleet(3, 6), unknown, start + 500ms).empty());
-    EXPECT_TRUE(rule.plan(fleet(3, 6), unknown, start + 1'000ms).empty());
-    std::vector<RoleChange> changes = rule.plan(fleet(3, 6), unknown, start + 1'100ms);
+    EXPECT_TRUE(rule.plan(makeFleet(2, 3), unknown, start).empty());
+    EXPECT_TRUE(rule.plan(makeFleet(3, 6), unknown, start + 500ms).empty());
+    EXPECT_TRUE(rule.plan(makeFleet(3, 6), unknown, start + 1'000ms).empty());
+    std::vector<RoleChange> changes = rule.plan(makeFleet(3, 6), unknown, start + 1'100ms);
     ASSERT_EQ(changes.size(), 4U);
     EXPECT_EQ(changes.front().role, TargetRole::Prefill);
 }
 
-TEST(SplitRule, ABlinkChangesNothing)
+TEST(SplitRule, ABriefOutageChangesNothing)
 {
-    SplitRule rule = settled(fleet(7, 2));
-    std::vector<EngineView> oneDown = fleet(7, 2);
+    SplitRule rule = makeSettledRule(makeFleet(7, 2));
+    std::vector<EngineView> oneDown = makeFleet(7, 2);
     oneDown.back().state = EngineState::Down;
     EXPECT_TRUE(rule.plan(oneDown, unknown, start + 2s).empty());
     EXPECT_TRUE(rule.plan(oneDown, unknown, start + 4s).empty());
-    EXPECT_TRUE(rule.plan(fleet(7, 2), unknown, start + 4400ms).empty());
+    EXPECT_TRUE(rule.plan(makeFleet(7, 2), unknown, start + 4400ms).empty());
     EXPECT_TRUE(rule.plan(oneDown, unknown, start + 5s).empty());
 }
 
-TEST(SplitRule, ASideThatStaysShortIsFilled)
+TEST(SplitRule, ASustainedShortageIsFilled)
 {
-    SplitRule rule = settled(fleet(7, 2));
-    std::vector<EngineView> oneDown = fleet(7, 2);
+    SplitRule rule = makeSettledRule(makeFleet(7, 2));
+    std::vector<EngineView> oneDown = makeFleet(7, 2);
     oneDown.back().state = EngineState::Down;
     EXPECT_TRUE(rule.plan(oneDown, unknown, start + 2s).empty());
     std::vector<RoleChange> changes = rule.plan(oneDown, unknown, start + 4600ms);
@@ -79,10 +79,10 @@
 }
 
 // Guards against outputs that wait for seconds while engines which have said that they leave are taken for such that come back.
-TEST(SplitRule, ASideWhoseEnginesLeaveForGoodIsFilledSooner)
+TEST(SplitRule, AShortageFromLeavingEnginesIsFilledSooner)
 {
-    SplitRule rule = settled(fleet(7, 2));
-    std::vector<EngineView> oneLeaves = fleet(7, 2);
+    SplitRule rule = makeSettledRule(makeFleet(7, 2));
+    std::vector<EngineView> oneLeaves = makeFleet(7, 2);
     oneLeaves.back().state = EngineState::Down;
     oneLeaves.back().isLeaving = true;
     EXPECT_TRUE(rule.plan(oneLeaves, unknown, start + 2s).empty());
@@ -93,38 +93,38 @@
 
 // Guards against two zones taken back one after the other, of which the second has half of what decodes after the first: one engine was
 // left, and outputs were refused until others had changed.
-TEST(SplitRule, EnoughDecodeWhicheverGroupIsLostNext)
+TEST(SplitRule, EnoughEnginesDecodeAfterTheLossOfAnyGroup)
 {
     SplitDemand fewOutputs { 8, 0.5, true };
     for (std::uint32_t groups = 2; groups <= 4; ++groups) {
-        std::vector<EngineView> engines = fleet(30, 0);
+        std::vector<EngineView> engines = makeFleet(30, 0);
         for (EngineView& engine : engines)
-            engine.lossGroup = engine.engine % groups + 1;
+            engine.failureDomain = engine.engine % groups + 1;
         SplitRule rule;
         for (SplitRule::Time now = start; now < start + 60s; now += 100ms) {
             for (RoleChange const& change : rule.plan(engines, fewOutputs, now))
                 engines[change.engine].role = change.role;
         }
         for (std::uint32_t lost = 1; lost <= groups; ++lost) {
-            std::ptrdiff_t left = std::count_if(engines.begin(), engines.end(), [lost](EngineView const& it) { return it.lossGroup != lost && it.role == TargetRole::Decode; });
+            std::ptrdiff_t left = std::count_if(engines.begin(), engines.end(), [lost](EngineView const& it) { return it.failureDomain != lost && it.role == TargetRole::Decode; });
             EXPECT_GE(left, 2) << groups << " groups, " << lost << " lost";
         }
     }
 }
 
-TEST(SplitRule, AnEmptySideIsFilledAtOnce)
+TEST(SplitRule, ARoleWithoutEnginesIsFilledSooner)
 {
-    SplitRule rule = settled(fleet(7, 2));
-    std::vector<EngineView> allDown = fleet(7, 2);
+    SplitRule rule = makeSettledRule(makeFleet(7, 2));
+    std::vector<EngineView> allDown = makeFleet(7, 2);
     allDown[7].state = EngineState::Down;
     allDown[8].state = EngineState::Down;
     EXPECT_TRUE(rule.plan(allDown, unknown, start + 2s).empty());
     EXPECT_EQ(rule.plan(allDown, unknown, start + 2500ms).size(), 2U);
 }
 
-TEST(SplitRule, OnlyServingEnginesThatMayTakeTheRoleAreChanged)
+TEST(SplitRule, ChangesOnlyServingEnginesAllowedTheRole)
 {
-    std::vector<EngineView> engines = fleet(3, 6);
+    std::vector<EngineView> engines = makeFleet(3, 6);
     engines[3].allowed = RoleSet().with(TargetRole::Decode);
     engines[4].state = EngineState::Changing;
     SplitRule rule;
@@ -143,7 +143,7 @@
 }
 
 // Chats of thousands of tokens beside prompts that share most of theirs.
-TEST(SplitRule, LongOutputsTakeMore)
+TEST(SplitRule, LongOutputsNeedMoreDecodeEngines)
 {
     SplitRule rule;
     EXPECT_EQ(rule.wantedDecode(12, 3, { 2.5, 1.2, true }), 4U);
@@ -151,25 +151,25 @@
     EXPECT_EQ(rule.wantedDecode(57, 14, { 12.2, 7, true }), 18U);
 }
 
-TEST(SplitRule, TheFirstDemandIsFollowedSoonAndLaterOnesOnlyWhenASideIsPressedAndItLasts)
+TEST(SplitRule, FollowsTheFirstDemandSoonAndLaterOnesOnlyUnderSustainedPressure)
 {
     SplitDemand const chats { 2.8, 1.92, true };
-    SplitRule rule = settled(fleet(9, 3));
-    EXPECT_TRUE(rule.plan(fleet(9, 3), chats, start + 2s).empty());
-    EXPECT_TRUE(rule.plan(fleet(9, 3), chats, start + 4s).empty());
-    EXPECT_EQ(rule.plan(fleet(9, 3), chats, start + 5s).size(), 1U) << "one at a time, although two are wanted";
-    EXPECT_TRUE(rule.plan(fleet(8, 4), chats, start + 8s).empty());
+    SplitRule rule = makeSettledRule(makeFleet(9, 3));
+    EXPECT_TRUE(rule.plan(makeFleet(9, 3), chats, start + 2s).empty());
+    EXPECT_TRUE(rule.plan(makeFleet(9, 3), chats, start + 4s).empty());
+    EXPECT_EQ(rule.plan(makeFleet(9, 3), chats, start + 5s).size(), 1U) << "one at a time, although two are wanted";
+    EXPECT_TRUE(rule.plan(makeFleet(8, 4), chats, start + 8s).empty());
     SplitDemand const more { 2.0, 4.0, true };
-    EXPECT_TRUE(rule.plan(fleet(8, 4), more, start + 9s).empty());
-    EXPECT_TRUE(rule.plan(fleet(8, 4), chats, start + 10s).empty()) << "a swing that is over";
-    EXPECT_TRUE(rule.plan(fleet(8, 4), more, start + 11s).empty());
-    EXPECT_EQ(rule.plan(fleet(8, 4), more, start + 13500ms).size(), 1U);
+    EXPECT_TRUE(rule.plan(makeFleet(8, 4), more, start + 9s).empty());
+    EXPECT_TRUE(rule.plan(makeFleet(8, 4), chats, start + 10s).empty()) << "a swing that is over";
+    EXPECT_TRUE(rule.plan(makeFleet(8, 4), more, start + 11s).empty());
+    EXPECT_EQ(rule.plan(makeFleet(8, 4), more, start + 13500ms).size(), 1U);
     SplitDemand const less { 4.0, 3.0, true };
     for (int n = 14; n < 30; ++n)
-        EXPECT_TRUE(rule.plan(fleet(7, 5), less, start + std::chrono::seconds(n)).empty()) << "another split would be better, but nobody waits for long";
+        EXPECT_TRUE(rule.plan(makeFleet(7, 5), less, start + std::chrono::seconds(n)).empty()) << "another split would be better, but nobody waits for long";
 }
 
-TEST(SplitRule, NothingChangesOnNoise)
+TEST(SplitRule, IgnoresNoise)
 {
     SplitRule rule;
     for (double factor : { 0.92, 1.0, 1.08 }) {
@@ -178,7 +178,7 @@
     }
 }
 
-TEST(SplitRule, ASideIsNeverLeftWithoutAnEngine)
+TEST(SplitRule, EachRoleKeepsAnEngine)
 {
     SplitRule rule;
     EXPECT_EQ(rule.wantedDecode(9, 2, { 50, 0.01, true }), 2U);
@@ -189,8 +189,8 @@
 // A third of the engines takes a third longer: the longest outputs end in time on the others only.
 TEST(SplitRule, FastEnginesDecode)
 {
-    SplitRule rule = settled(fleet(9, 3));
-    std::vector<EngineView> engines = fleet(9, 3);
+    SplitRule rule = makeSettledRule(makeFleet(9, 3));
+    std::vector<EngineView> engines = makeFleet(9, 3);
     for (std::uint32_t n = 0; n < 12; ++n)
         engines[n].slowness = n % 3 == 2 ? 1.3 : 1;
     engines[0].slowness = 1.3;
--- a/Utilities/currantvale-measure/Trial.cpp
+++ b/Utilities/currantvale-measure/Trial.cpp
@@ -26,7 +26,7 @@
         { "roles.band", [](Trial& it, double n) { it.roles.mix.band = n; } },
         { "roles.phase", [](Trial& it, double n) { it.roles.mix.firstPhaseSeconds = n; } },
         { "roles.horizon", [](Trial& it, double n) { it.roles.horizonSeconds = n; } },
-        { "roles.least-gain", [](Trial& it, double n) { it.roles.leastGainShare = n; } },
+        { "roles.least-gain", [](Trial& it, double n) { it.roles.minGainShare = n; } },
         { "roles.margin", [](Trial& it, double n) { it.roles.margin = n; } },
         { "roles.changing", [](Trial& it, double n) { it.roles.maxChanging = static_cast<std::size_t>(n); } },
         { "roles.min-prefill", [](Trial& it, double n) { it.roles.minPrefill = static_cast<std::size_t>(n); } },
