--- a/Libraries/LibRoles/Capacity.cpp
+++ b/Libraries/LibRoles/Capacity.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Share of a demand that is served in time by a capacity of `headroom` times the demand. Prompts are few and
-// long, and wait for a whole engine; outputs share engines evenly, so that less headroom does.
+// Exponents for the share of a demand that is served in time by a capacity of `headroom` times the demand. Prompts
+// are few and long and each waits for a whole engine; outputs share engines evenly and need less headroom.
 constexpr double promptSharpness = 4;
 constexpr double outputSharpness = 12;
 
@@ -35,7 +35,7 @@
     double mixedPrefillCapacity = split.mixed * rates.mixedPrefillTokensPerSecond / rates.prefillTokensPerSecond;
 
     double output = servedShare(headroomRatio(split.decode + split.mixed, decodeWork), outputSharpness);
-    // Mixed engines take short prompts first; what they cannot take competes with the long ones.
+    // Mixed engines serve short prompts first; the excess competes with long prompts for prefill engines.
     double excessShortWork = std::max(0.0, shortWork - mixedPrefillCapacity);
     double prefill = servedShare(headroomRatio(split.prefill, longWork + excessShortWork), promptSharpness);
     double mixedShare = shortWork > 0 ? std::min(1.0, mixedPrefillCapacity / shortWork) : 1;
--- a/Libraries/LibRoles/Capacity.h
+++ b/Libraries/LibRoles/Capacity.h
@@ -4,14 +4,14 @@
 
 namespace Roles {
 
-/// What an engine does in a second, as measured or set by operators.
+/// Throughput of one engine, measured or configured by operators.
 struct EngineRates {
     double prefillTokensPerSecond { 8000 };
-    double decodeTokensPerSecond { 950 }; ///< At the largest batch that keeps the time between tokens.
-    double mixedPrefillTokensPerSecond { 600 }; ///< Short prompts that a mixed engine takes beside its decoding without breaking that time.
+    double decodeTokensPerSecond { 950 }; ///< At the largest batch size that meets the inter-token latency target.
+    double mixedPrefillTokensPerSecond { 600 }; ///< Short prompts, beside decoding within that target.
 };
 
-/// Demand of one class, each second.
+/// Demand of one prompt class, per second.
 struct ClassDemand {
     double requests { 0 };
     double promptTokens { 0 };
@@ -29,8 +29,8 @@
     bool operator==(Split const&) const = default;
 };
 
-/// Estimates the requests a second that end in time under a demand. Smooth: spare capacity counts a
-/// little even where the demand fits, since it shortens queues. Thread-safe.
+/// Estimates the goodput: requests per second that finish in time under a demand. The estimate is smooth:
+/// spare capacity adds a little even when the demand is met, since it shortens queues. Thread-safe.
 double estimateGoodput(Demand const&, Split const&, EngineRates const&);
 
 }
--- a/Libraries/LibRoles/FleetSizer.cpp
+++ b/Libraries/LibRoles/FleetSizer.cpp
@@ -11,7 +11,7 @@
 
 std::uint32_t roundUp(double engines)
 {
-    // Sums of fractions that should be whole are not.
+    // Rounding errors may leave a sum slightly above an integer.
     constexpr double tolerance = 1e-6;
     return static_cast<std::uint32_t>(std::ceil(std::max(0.0, engines - tolerance)));
 }
@@ -41,7 +41,7 @@
     };
 }
 
-// The demand for which the rule would have so many engines.
+// Inverts the size rule by bisection: returns the demand that needs this many engines.
 double FleetSizer::demandFor(std::uint32_t engines, double price) const
 {
     constexpr int bisectionSteps = 30;
@@ -71,10 +71,10 @@
     constexpr int digits = 2;
     double price = offer.reclaimablePrice.value_or(1);
     std::ostringstream text;
-    text << std::fixed << std::setprecision(digits) << (m_size->isDemandKnown ? "requests keep " : "the engines found would be right for ") << m_size->demand << (m_size->isDemandKnown ? " engines busy" : " busy ones")
-         << "; one more costs " << price << " of a lasting one, so " << m_size->wanted << " are wanted";
+    text << std::fixed << std::setprecision(digits) << (m_size->isDemandKnown ? "requests keep " : "the listed engines match a demand of ") << m_size->demand << (m_size->isDemandKnown ? " engines busy" : " busy engines")
+         << "; an additional engine costs " << price << " of a lasting engine, so " << m_size->wanted << " are wanted";
     if (offer.reclaimablePrice)
-        text << "; " << m_size->strained << " must be left when one availability zone's reclaimable ones are gone; " << m_size->lasting << " lasting ones carry " << m_settings.lastingPart << " of the demand";
+        text << "; " << m_size->strained << " must remain when all reclaimable engines of one availability zone are lost; " << m_size->lasting << " lasting engines carry " << m_settings.lastingPart << " of the demand";
     return text.str();
 }
 
@@ -87,7 +87,7 @@
     return listed > 0 && now - m_listedSince >= m_settings.stabilisationTime;
 }
 
-// The engines found were right for this demand, at their prices.
+// Returns the demand for which the listed engines are the right size at their prices.
 double FleetSizer::demandMatchedBy(EngineOffer const& offer, std::vector<ZoneEngines> const& zones) const
 {
     double demand = 0;
@@ -104,8 +104,8 @@
     m_size->isDemandKnown = true;
 }
 
-// The size follows the demand when it has been unfit for some time. Before that, operators or the holder before have found as many
-// engines right; one that has just come to know a demand may know only part of it.
+// The size follows the demand once it has been out of tolerance for some time. Until then the listed engines are kept, since
+// operators or the previous lease holder chose them; a new holder may know only part of the demand.
 void FleetSizer::updateSize(EngineOffer const& offer, std::vector<ZoneEngines> const& zones, std::optional<double> demand, Time now)
 {
     if (!m_size) {
@@ -139,7 +139,7 @@
     return it != m_scarceUntil.end() && now < it->second;
 }
 
-// Whether there are to be more engines of a kind in a zone, and these may come.
+// Returns whether more engines of a kind are wanted in a zone and may still start.
 bool FleetSizer::isPending(EngineOffer const& offer, Pool const& pool, std::uint32_t wanted, std::uint32_t current, Time now) const
 {
     if (wanted <= current || isScarce(pool, now))
@@ -148,7 +148,7 @@
     return it == m_lastOrders.end() || it->second.count != wanted || now - it->second.at < offer.bootTime + m_settings.listLag;
 }
 
-// Evenly, so that the loss of one availability zone's is the least; what is over goes where it is cheapest.
+// Spreads evenly to minimise the loss with any one availability zone; the remainder goes to the cheapest zones.
 FleetSizer::Counts FleetSizer::spreadReclaimable(EngineOffer const& offer, std::vector<std::string> const& names) const
 {
     Counts counts;
@@ -161,7 +161,7 @@
     return counts;
 }
 
-// Lasting engines stay where they are, as far as they stay: moving one to a cheaper zone costs its cache.
+// Keeps lasting engines in their zones where possible, since moving one to a cheaper zone loses its cache.
 FleetSizer::Counts FleetSizer::spreadLasting(EngineOffer const& offer, std::vector<ZoneEngines> const& zones, std::vector<std::string> const& names, Counts const& reclaimable, std::uint32_t total) const
 {
     Counts counts;
@@ -178,7 +178,7 @@
         sum -= removed;
     }
     for (std::string const& name : names) {
-        // Cheap ones that serve give no place up.
+        // Serving reclaimable engines keep their places under the zone's limit.
         std::uint32_t used = currentReclaimable[name] + counts[name];
         std::uint32_t added = std::min(total - std::min(total, sum), offer.mostPerZone - std::min(offer.mostPerZone, used));
         counts[name] += added;
@@ -188,7 +188,7 @@
     return counts;
 }
 
-// What is left is to carry the demand; and no lasting engine goes before those that replace it serve.
+// Enough engines must remain after a loss, and no lasting engine is stopped before its replacements serve.
 std::uint32_t FleetSizer::lastingNeeded(EngineOffer const& offer, std::vector<ZoneEngines> const& zones, Counts const& reclaimable, Time now) const
 {
     std::uint32_t lasting = 0;
@@ -200,7 +200,7 @@
         isAnyPending = isAnyPending || isPending(offer, { zone.availabilityZone, EngineKind::Reclaimable }, reclaimable.at(zone.availabilityZone), zone.reclaimable, now);
     }
     std::uint32_t needed = std::max(m_size->lasting, m_size->strained - std::min(m_size->strained, serving));
-    // Before the first requests it is enough that these would be served.
+    // Before the first requests, the minimum that could serve the assumed demand is enough.
     std::uint32_t interim = m_size->isDemandKnown ? m_size->wanted : m_size->strained;
     if (isAnyPending)
         needed = std::max(needed, std::min(lasting, interim - std::min(interim, serving)));
@@ -217,7 +217,7 @@
     Counts reclaimable = spreadReclaimable(offer, names);
     Counts lasting = spreadLasting(offer, zones, names, reclaimable, lastingNeeded(offer, zones, reclaimable, now));
     std::vector<EngineOrder> orders;
-    // Fewer ones first: the bound of a zone is for both kinds together.
+    // Lasting engines first, since the limit of a zone applies to both kinds together.
     for (ZoneEngines const& zone : zones)
         addOrder(orders, offer, { zone.availabilityZone, EngineKind::Lasting, lasting[zone.availabilityZone] }, zone.lasting, now);
     for (ZoneEngines const& zone : zones) {
--- a/Libraries/LibRoles/FleetSizer.h
+++ b/Libraries/LibRoles/FleetSizer.h
@@ -15,49 +15,50 @@
 
 using State::EngineOffer;
 
-/// Which engines are ordered: lasting ones stay until they are ordered away, reclaimable ones cost less, and the platform may take
-/// all of an availability zone back with a few seconds' notice.
+/// How an engine is provisioned. Lasting (on-demand) engines run until they are scaled down. Reclaimable (spot) engines cost
+/// less, but the platform may reclaim all of those in an availability zone with a few seconds' notice.
 enum class EngineKind : std::uint8_t { Lasting,
     Reclaimable };
 
-/// Says how many engines a demand needs, where one more costs `price` of a lasting one. It grows with the demand.
+/// Returns how many engines a demand needs if an additional one costs `price` times as much as a lasting one. Must increase
+/// with the demand.
 using SizeRule = std::function<double(double demand, double price)>;
 
-/// Returns the rule that keeps engines at the full price busy for `utilisation` of their time, and leaves more room the cheaper they
-/// are: by one over the root of the price, where the cost of one engine more and of the wait that it saves are level. Thread-safe.
+/// Returns a rule that targets `utilisation` at the full price and scales the headroom of cheaper engines by the inverse square
+/// root of the price: there the cost of one more engine equals that of the waiting time it saves. Thread-safe.
 SizeRule sizeByPrice(double utilisation);
 
-/// How many engines a service is to have.
+/// Targets and delays for scaling the engines of a service.
 struct FleetSizerSettings {
-    double utilisation { 0.45 }; ///< As `sizeByPrice` has it.
-    /// What is left when all reclaimable engines of one availability zone are gone is to be busy for this part at most.
+    double utilisation { 0.45 }; ///< Target utilisation at the full price, see `sizeByPrice`.
+    /// Maximum utilisation of the remaining engines after all reclaimable ones in an availability zone are lost.
     double strainedUtilisation { 0.8 };
-    /// Lasting engines alone are to carry this part of the demand, so strained.
+    /// Share of the demand that lasting engines must be able to serve alone at `strainedUtilisation`.
     double lastingPart { 0.15 };
-    /// Fewer engines are ordered only where this part of them is too many, and has been for `patience`.
+    /// The service is scaled down only after this share of its engines has been surplus for `patience`.
     double minSurplusShare { 0.2 };
     std::chrono::milliseconds patience { 15'000 };
-    /// More are ordered where this part is missing, once that has been so for `alertTime`: the first requests say little of a rate.
+    /// It is scaled up after this share has been missing for `shortagePatience`: the first requests give an unreliable rate.
     double minShortageShare { 0.35 };
     std::chrono::milliseconds shortagePatience { 2'000 };
-    /// Before the first order the list of engines must have stayed the same for this long: they list themselves one by one.
+    /// The number of listed engines must be stable for this long before the first order, since engines register one by one.
     std::chrono::milliseconds stabilisationTime { 600 };
-    /// An order is sent again where the list still shows another number so long after new engines should serve.
+    /// An order is repeated if the list still shows another count this long after the boot time has passed.
     std::chrono::milliseconds listLag { 3'000 };
-    /// Where none were to be had it is asked again after this.
+    /// Delay before the platform is asked again after it had no capacity.
     std::chrono::milliseconds scarcityRetryDelay { 2'000 };
 
     bool operator==(FleetSizerSettings const&) const = default;
 };
 
-/// The engines of one availability zone that serve and are not about to leave.
+/// Number of engines in one availability zone that serve and are not shutting down.
 struct ZoneEngines {
     std::string availabilityZone;
     std::uint32_t lasting { 0 };
     std::uint32_t reclaimable { 0 };
 };
 
-/// A number of engines to order.
+/// The desired number of engines of one kind in an availability zone.
 struct EngineOrder {
     std::string availabilityZone;
     EngineKind kind { EngineKind::Lasting };
@@ -66,19 +67,19 @@
     bool operator==(EngineOrder const&) const = default;
 };
 
-/// How many engines of a kind there should be in all, and why.
+/// The desired number of engines of a service, with the figures that it follows from.
 struct FleetSize {
-    double demand { 0 }; ///< Engines that requests keep busy; guessed from the engines found where it is not known.
+    double demand { 0 }; ///< Engines kept busy by requests; estimated from the listed engines while unknown.
     bool isDemandKnown { false };
     std::uint32_t wanted { 0 }; ///< Engines of both kinds.
-    std::uint32_t lasting { 0 }; ///< Of those.
-    std::uint32_t strained { 0 }; ///< What must be left after a loss.
+    std::uint32_t lasting { 0 }; ///< Lasting engines among these.
+    std::uint32_t strained { 0 }; ///< Engines that must remain after the loss of an availability zone's reclaimable ones.
 
     bool operator==(FleetSize const&) const = default;
 };
 
-/// Says how many engines of which kind a service needs in each availability zone, from the demand on it, what can be lost at once,
-/// and prices. What stands is what the list of engines shows, not what was ordered. Pure and not thread-safe.
+/// Computes how many engines of each kind a service needs in each availability zone, from its demand, the engines that can be
+/// lost at once, and prices. The current state is the list of engines, not the orders sent. Performs no I/O; not thread-safe.
 class FleetSizer {
 public:
     using Time = Core::BootClock::time_point;
@@ -88,37 +89,37 @@
     {
     }
 
-    /// Goes by another rule than `sizeByPrice`.
+    /// Uses a custom rule instead of `sizeByPrice`.
     FleetSizer(FleetSizerSettings const& settings, SizeRule rule)
         : m_settings(settings)
         , m_rule(std::move(rule))
     {
     }
 
-    /// Returns the orders to give now. `demand`: engines that would be kept busy without a moment's pause; nothing while unknown.
+    /// Returns the orders to send now. `demand`: the number of engines that the load keeps fully busy; nothing while unknown.
     std::vector<EngineOrder> plan(EngineOffer const&, std::vector<ZoneEngines> const&, std::optional<double> demand, Time now);
 
-    /// Begins with the size that another daemon went by, in place of one guessed from the engines found. After the first plan this
-    /// changes nothing.
+    /// Starts from the size that another daemon used instead of estimating one from the listed engines. Has no effect after the
+    /// first plan.
     void adopt(EngineOffer const&, double demand);
 
-    /// Notes that an order was accepted.
+    /// Records that the platform accepted an order.
     void recordOrder(EngineOrder const&, Time now);
 
-    /// Notes that none of the kind were to be had in the zone.
+    /// Records that the platform had no capacity for an order.
     void recordScarcity(EngineOrder const&, Time now);
 
     /// Returns the size for a demand.
     FleetSize sizeFor(EngineOffer const&, double demand) const;
 
-    /// Returns one sentence that says which demand, price and loss made the size so; empty before the first plan.
+    /// Describes in one sentence the demand, price and possible loss behind the size; empty before the first plan.
     std::string explain(EngineOffer const&) const;
 
-    /// Returns the size that the last plan went by; nothing before the first.
+    /// Returns the size used by the last plan; nothing before the first.
     std::optional<FleetSize> const& size() const { return m_size; }
 
 private:
-    using Pool = std::pair<std::string, EngineKind>; ///< An availability zone's engines of one kind.
+    using Pool = std::pair<std::string, EngineKind>; ///< The engines of one kind in an availability zone.
 
     struct LastOrder {
         std::uint32_t count { 0 };
@@ -141,10 +142,10 @@
     FleetSizerSettings m_settings;
     SizeRule m_rule;
     std::optional<FleetSize> m_size;
-    std::optional<Time> m_outOfToleranceSince; ///< Since when the size has been too small or too large for the demand.
-    bool m_isShort { false }; ///< Of the two, too small.
-    std::optional<std::uint32_t> m_listedCount; ///< Engines listed before the first plan,
-    Time m_listedSince; ///< and since when as many.
+    std::optional<Time> m_outOfToleranceSince; ///< When the size became too small or too large for the demand.
+    bool m_isShort { false }; ///< Whether it is too small rather than too large.
+    std::optional<std::uint32_t> m_listedCount; ///< Number of engines listed, tracked until the first plan.
+    Time m_listedSince; ///< When that number last changed.
     std::map<Pool, LastOrder> m_lastOrders;
     std::map<Pool, Time> m_scarceUntil;
 };
--- a/Libraries/LibRoles/FleetView.h
+++ b/Libraries/LibRoles/FleetView.h
@@ -9,14 +9,14 @@
 
 namespace Roles {
 
-/// A point of the monotonic clock, handed in by the caller.
+/// A monotonic time point, passed in by the caller.
 using Time = std::chrono::steady_clock::time_point;
 
-/// What the holder of the lease knows of an engine's state.
+/// The state of an engine as known to the lease holder.
 enum class EngineState : std::uint8_t {
     Serving,
-    Changing, ///< Draining for a change, or in it.
-    Down, ///< Gone, unreachable, drained by an operator, or its orders are blocked. Never planned for.
+    Changing, ///< Draining before a role change, or changing its role.
+    Down, ///< Terminated, unreachable, drained by an operator, or its orders are blocked. Not part of any plan.
 };
 
 inline constexpr Core::EnumNames<EngineState, 3> engineStateNames { {
@@ -25,23 +25,23 @@
     { EngineState::Down, "down" },
 } };
 
-/// One engine under the lease.
+/// One engine managed by the lease holder.
 struct EngineView {
-    std::uint32_t engine { 0 }; ///< The caller's own number for it.
-    TargetRole role { TargetRole::Mixed }; ///< While changing: the role ordered.
+    std::uint32_t engine { 0 }; ///< Identifier assigned by the caller.
+    TargetRole role { TargetRole::Mixed }; ///< The target role while changing.
     RoleSet allowed;
     EngineState state { EngineState::Serving };
-    double changeCostSeconds { 0 }; ///< Label `change-cost`: engine-seconds charged to a change beside those out of service.
+    double changeCostSeconds { 0 }; ///< Label `change-cost`: engine-seconds charged per change in addition to its downtime.
     std::uint32_t running { 0 };
     std::uint32_t waitingPromptTokens { 0 };
-    /// The platform can take all engines of one group back at once; 0: this one alone may be lost.
+    /// The platform may reclaim all engines of one failure domain at once; 0: the engine can only be lost alone.
     std::uint32_t failureDomain { 0 };
-    bool isLeaving { false }; ///< Down for good: no other engine need wait for it to come back.
-    bool isFresh { false }; ///< It has just come, so a change of its role takes away nothing that others count on.
-    double slowness { 1 }; ///< How many times as long as others it takes for what it does now.
+    bool isLeaving { false }; ///< Permanently down, so it can be replaced without waiting for its return.
+    bool isFresh { false }; ///< Started recently, so no requests depend on its current role yet.
+    double slowness { 1 }; ///< Processing time relative to other engines for its current work.
 };
 
-/// Prompts are counted in two classes, since long ones disturb the output of a mixed engine most.
+/// Prompts are counted in two classes because long ones delay decoding on a mixed engine most.
 enum class PromptClass : std::uint8_t {
     Short,
     Long,
@@ -52,28 +52,28 @@
     { PromptClass::Long, "long" },
 } };
 
-/// What all entries counted of one class over a window.
+/// Counts of one prompt class over a window, summed over all entries.
 struct ClassCounts {
-    double requests { 0 }; ///< Offered, shed ones included: demand, not what was served.
-    double promptTokens { 0 }; ///< Of these requests, less the cached prefixes that the router saw.
+    double requests { 0 }; ///< Requests received, including shed ones: the demand, not the throughput.
+    double promptTokens { 0 }; ///< Of these requests, without the cached prefixes known to the router.
     double endedRequests { 0 };
     double outputTokens { 0 }; ///< Of the ended requests.
 };
 
 using MixCounts = std::array<ClassCounts, 2>; ///< Indexed by PromptClass.
 
-/// All that a plan is made from.
+/// The input of a plan.
 struct FleetView {
     std::vector<EngineView> engines;
     MixCounts counts; ///< Since the last plan.
     double windowSeconds { 1 };
 };
 
-/// An order to make: the engine drains, changes, and serves in the role.
+/// An order for an engine to drain, change and serve in another role.
 struct RoleChange {
     std::uint32_t engine { 0 };
     TargetRole role { TargetRole::Mixed };
-    double gain { 0 }; ///< Requests expected to be gained over the horizon, cost deducted; for the log line.
+    double gain { 0 }; ///< Expected additional requests over the horizon, net of the cost; for the log.
 };
 
 }
--- a/Libraries/LibRoles/MixEstimator.cpp
+++ b/Libraries/LibRoles/MixEstimator.cpp
@@ -52,7 +52,7 @@
 
 double MixEstimator::remainingSeconds() const
 {
-    // A phase that has outlasted the mean says that phases are longer than thought.
+    // A phase that has outlasted the mean suggests that phases are longer than estimated.
     constexpr double minRemainingShare = 0.25;
     return std::max(m_meanPhaseSeconds - m_phaseSeconds, minRemainingShare * std::max(m_meanPhaseSeconds, m_phaseSeconds));
 }
--- a/Libraries/LibRoles/MixEstimator.h
+++ b/Libraries/LibRoles/MixEstimator.h
@@ -4,44 +4,44 @@
 
 namespace Roles {
 
-/// Turns the entries' counts into a demand: one estimate that follows the mix within seconds, one that
-/// follows its average, and how long the mix tends to stay on one side of that average.
-/// Not thread-safe: it belongs to one planner.
+/// Estimates the demand from the entries' counts: the current mix with a time constant of seconds, its
+/// long-term average, and how long the mix usually stays above or below that average.
+/// Not thread-safe: each planner has its own.
 class MixEstimator {
 public:
     struct Settings {
-        double fastSeconds { 8 }; ///< Time constant of the estimate that follows the mix.
-        double slowSeconds { 240 }; ///< Time constant of the average.
-        double band { 0.08 }; ///< How far the prefill share must be from its average to count as a new side.
-        double firstPhaseSeconds { 240 }; ///< How long a phase is taken to last until some were seen.
+        double fastSeconds { 8 }; ///< Time constant of the current estimate.
+        double slowSeconds { 240 }; ///< Time constant of the long-term average.
+        double band { 0.08 }; ///< Deviation of the prefill share from its average that starts a new phase.
+        double firstPhaseSeconds { 240 }; ///< Assumed phase length until phases have been observed.
     };
 
     MixEstimator(Settings const&, EngineRates const&);
 
-    /// Takes in the counts of a window. Precondition: seconds > 0.
+    /// Adds the counts of a window. Precondition: seconds > 0.
     void add(MixCounts const&, double seconds);
 
-    /// The demand as it is now.
+    /// Returns the current demand.
     Demand now() const;
 
-    /// The average demand.
+    /// Returns the long-term average demand.
     Demand average() const;
 
-    /// The prefill share of all work, now and on average.
+    /// The share of prefill in all work, currently and on average.
     double shareNow() const { return share(m_fast); }
     double shareAverage() const { return share(m_slow); }
 
-    /// Expected seconds until the mix crosses to the other side of its average.
+    /// Returns the expected seconds until the mix crosses its average.
     double remainingSeconds() const;
 
-    /// Seconds of counts taken in so far.
+    /// Returns the total length of all windows added.
     double observedSeconds() const { return m_observedSeconds; }
 
 private:
     struct Rates {
         std::array<double, 2> requests {};
         std::array<double, 2> promptTokens {};
-        double weight { 0 }; ///< Corrects the start of the exponential average.
+        double weight { 0 }; ///< Sum of the sample weights; corrects the initial bias of the exponential average.
     };
 
     static void updateAverages(Rates&, MixCounts const&, double seconds, double timeConstant);
--- a/Libraries/LibRoles/Planner.cpp
+++ b/Libraries/LibRoles/Planner.cpp
@@ -12,7 +12,7 @@
     return role != TargetRole::Prefill;
 }
 
-// The role that an engine takes when it joins or leaves prefill; nothing when selectors forbid it.
+// Returns the role of an engine after it joins or leaves prefill; nothing if selectors do not allow the move.
 std::optional<TargetRole> roleAfter(EngineView const& engine, bool toPrefill, TargetRole outputRole)
 {
     if (toPrefill)
@@ -23,7 +23,7 @@
     return engine.allowed.has(other) ? std::optional(other) : std::nullopt;
 }
 
-// Engines that may move, the cheapest first: the least charge, then the least work to drain.
+// Returns the engines that may move, the cheapest first: by change cost, then by the work to drain.
 std::vector<EngineView> movableEngines(std::vector<EngineView> const& engines, bool toPrefill, TargetRole outputRole)
 {
     std::vector<EngineView> candidates;
@@ -79,14 +79,14 @@
 Core::Result<Planner> Planner::create(Settings settings)
 {
     if (settings.minOutput < 1)
-        return Core::fail(Core::ErrorCode::BadInput, "At least one engine that decodes must be kept.");
+        return Core::fail(Core::ErrorCode::BadInput, "The minimum number of engines that decode must be at least 1.");
     if (settings.maxChanging < 1)
-        return Core::fail(Core::ErrorCode::BadInput, "The bound on engines changing at once must be at least 1.");
+        return Core::fail(Core::ErrorCode::BadInput, "The maximum number of engines changing at once must be at least 1.");
     if (settings.outputRole == TargetRole::Prefill)
         return Core::fail(Core::ErrorCode::BadInput, "The role of engines that decode must be decode or mixed.");
     EngineRates const& rates = settings.rates;
     if (!(rates.prefillTokensPerSecond > 0) || !(rates.decodeTokensPerSecond > 0) || !(rates.mixedPrefillTokensPerSecond >= 0))
-        return Core::fail(Core::ErrorCode::BadInput, "Rates of engines must be above 0 tokens a second.");
+        return Core::fail(Core::ErrorCode::BadInput, "Prefill and decode rates must be above 0 tokens per second, and the mixed prefill rate must not be negative.");
     if (!(settings.mix.fastSeconds > 0) || !(settings.mix.slowSeconds > 0) || !(settings.horizonSeconds > 0) || !(settings.margin >= 1))
         return Core::fail(Core::ErrorCode::BadInput, "Time constants must be above 0 seconds and the margin at least 1.");
     return Planner(settings);
@@ -114,13 +114,13 @@
     return best;
 }
 
-// How many engines should join prefill (above 0) or leave it (below 0), by the expected gain in requests.
+// Returns how many engines should join (above 0) or leave (below 0) prefill for the highest expected gain in requests.
 int Planner::bestMoves(FleetView const& view, Split const& split, double& gain) const
 {
     double secondsLost = m_settings.changeSeconds + m_settings.drainSeconds;
     double engines = split.prefill + split.decode + split.mixed;
     Demand demand = m_mix.now();
-    // What an engine-second is worth at this demand.
+    // Requests served per engine-second at the current demand.
     double requestsPerEngineSecond = estimateGoodput(demand, split, m_settings.rates) / std::max(1.0, engines);
     double currentRequests = requestsOverHorizon(split);
     double averageBestPrefill = bestPrefillOnAverage(engines);
@@ -133,7 +133,7 @@
         Split moved = split;
         for (EngineView const& it : movableEngines(view.engines, toPrefill, m_settings.outputRole)) {
             ++moves;
-            // A move away from what suits the average will have to be undone: its cost comes twice.
+            // A move away from the optimum for the average mix will have to be reversed, so it costs twice.
             bool isAwayFromAverage = toPrefill ? moved.prefill >= averageBestPrefill : moved.prefill <= averageBestPrefill;
             cost += (isAwayFromAverage ? 2 : 1) * requestsPerEngineSecond * (secondsLost + it.changeCostSeconds);
             TargetRole role = *roleAfter(it, toPrefill, m_settings.outputRole);
--- a/Libraries/LibRoles/Planner.h
+++ b/Libraries/LibRoles/Planner.h
@@ -6,21 +6,21 @@
 
 namespace Roles {
 
-/// Decides which engines change role. The holder of a lease calls it once per window with what it knows,
-/// and makes the changes that it returns. It keeps estimates of the mix between calls, and nothing else.
-/// Whatever the policy: a change never leaves the roles that selectors allow, never touches an engine
-/// that is not serving, and never takes more engines out of service than the bound, or the last that serve.
-/// Not thread-safe: it belongs to the control thread. See docs/design/roles.md.
+/// Decides which engines change their role. The lease holder calls it once per window with the state of
+/// the fleet and executes the returned changes. Its only state between calls is the estimates of the mix.
+/// Under every policy, only serving engines change, only to roles that selectors allow, and never more at
+/// once than `maxChanging` permits or so many that a role loses its minimum of serving engines.
+/// Not thread-safe: used on the control thread. See docs/design/roles.md.
 class Planner {
 public:
-    /// Creates a planner. Fails with `BadInput` when a setting is out of its range.
+    /// Creates a planner. Fails with `BadInput` if a setting is out of range.
     static Core::Result<Planner> create(Settings);
 
-    /// Takes in a window and returns the changes to make now, most useful first; mostly none.
+    /// Adds a window and returns the changes to make now, the cheapest engine first; usually none.
     /// Precondition: view.windowSeconds > 0.
     std::vector<RoleChange> plan(FleetView const&);
 
-    /// The estimates that the last plan was made from, for logs and metrics.
+    /// Returns the estimates used by the last plan, for logs and metrics.
     MixEstimator const& mix() const { return m_mix; }
 
 private:
@@ -35,11 +35,11 @@
     ThresholdRule m_threshold;
 };
 
-/// Chooses the engines for a number of moves to prefill (above 0) or away from it (below 0): the cheapest
-/// first, as many as the bounds of the settings allow. Thread-safe.
+/// Selects engines to move to prefill (moves > 0) or away from it (moves < 0): the cheapest first, as many
+/// as the limits in the settings allow. Thread-safe.
 std::vector<RoleChange> chooseEngines(FleetView const&, int moves, Settings const&, double gain);
 
-/// Counts the engines that serve, or will serve after their change, in each role. Thread-safe.
+/// Counts the engines in each role that serve now or after their current change. Thread-safe.
 Split splitOf(std::vector<EngineView> const&);
 
 }
--- a/Libraries/LibRoles/RoleSet.h
+++ b/Libraries/LibRoles/RoleSet.h
@@ -6,15 +6,15 @@
 
 using Routing::TargetRole;
 
-/// The roles that an operator's group selectors allow an engine. Empty: it keeps the role that it has.
+/// The roles that an operator's group selectors allow for an engine. If empty, the engine keeps its role.
 class RoleSet {
 public:
     constexpr RoleSet() = default;
 
-    /// All three roles.
+    /// Returns the set of all three roles.
     static constexpr RoleSet all() { return RoleSet().with(TargetRole::Prefill).with(TargetRole::Decode).with(TargetRole::Mixed); }
 
-    /// A copy with one role more.
+    /// Returns a copy that also contains the role.
     constexpr RoleSet with(TargetRole role) const { return RoleSet(m_bits | bit(role)); }
 
     /// Returns whether the role is allowed.
--- a/Libraries/LibRoles/SplitRule.cpp
+++ b/Libraries/LibRoles/SplitRule.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Of one engine that is lost, half of its work at least is done by others even where there are none now: one comes back, or
-// changes its role, within seconds.
+// Returns the capacity that remains after a loss, but at least half: even where no engine remains, a lost one returns or
+// another changes its role within seconds.
 double capacityAfterLoss(std::size_t engines, std::size_t failureDomains)
 {
     constexpr double minCapacity = 1e-9;
@@ -38,7 +38,7 @@
     return engines - std::min<std::size_t>(m_settings.leastPrefill, engines - 1);
 }
 
-// One in each group that can be lost at once, and enough in the others when it is.
+// At least one engine in each failure domain, and enough in the others when any one is lost.
 std::size_t SplitRule::minDecoding(std::size_t engines) const
 {
     std::size_t minimum = std::max<std::size_t>(m_settings.leastDecode, m_failureDomains);
@@ -68,7 +68,7 @@
     return static_cast<std::uint32_t>(keepsSplit ? decoding : best);
 }
 
-// A side has no engine, or too few, and none that may come back.
+// Returns whether a side has no engine, or too few even with those that may return.
 bool SplitRule::isUrgent(Counts const& counts) const
 {
     if (counts.prefill == 0 || counts.decode == 0)
@@ -100,7 +100,7 @@
     return now - *m_mismatchSince >= patience;
 }
 
-// Engines that come later take roles of their own choice: they get the missing ones at once.
+// Engines that join later choose an initial role themselves; those that fill a shortage change it at once.
 std::vector<RoleChange> SplitRule::assignNewEngines(std::vector<EngineView> const& engines, std::uint32_t decode, SplitDemand const& demand, std::size_t total)
 {
     std::vector<RoleChange> changes;
@@ -117,9 +117,8 @@
     return selectEngines(engines, newEngines, to, missing);
 }
 
-// Of the engines that may change, those that leave each group that can be lost at once with an even part of the role; then fast
-// ones for outputs: an output takes seconds at one engine, so that a slow one makes the longest of them late, while a prompt waits
-// for none but those before it.
+// Selects eligible engines so that the role is spread evenly over failure domains; among equals, fast engines decode. An output
+// stays on one engine for seconds, so a slow one delays the longest outputs, while a prompt waits only for those before it.
 std::vector<RoleChange> SplitRule::selectEngines(std::vector<EngineView> const& engines, std::vector<EngineView> eligible, TargetRole to, std::uint32_t count)
 {
     std::map<std::uint32_t, double> sizes;
@@ -141,7 +140,7 @@
     return changes;
 }
 
-// Notes the groups that can be lost at once, too.
+// Also updates the number of failure domains.
 SplitRule::Counts SplitRule::countEngines(std::vector<EngineView> const& engines)
 {
     Counts counts;
--- a/Libraries/LibRoles/SplitRule.h
+++ b/Libraries/LibRoles/SplitRule.h
@@ -9,47 +9,47 @@
 
 namespace Roles {
 
-/// What is asked of all engines of a service, in engines: how many would be kept busy without a moment's pause.
+/// Demand on all engines of a service, as the number of engines that it would keep fully busy.
 struct SplitDemand {
     double prompts { 0 };
-    double outputs { 0 }; ///< By places in a batch or by memory, whichever needs more.
-    bool isKnown { false }; ///< Requests came, and it was learnt how long engines take for them.
+    double outputs { 0 }; ///< By batch slots or by memory, whichever needs more engines.
+    bool isKnown { false }; ///< Whether requests and their processing times have been observed.
 };
 
-/// What a split of engines into prefill and decode is kept to.
+/// Limits and delays for splitting engines into prefill and decode.
 struct SplitSettings {
-    /// The part of the engines that decodes until the demand is known. A guess that fits no mix in particular: the first known
-    /// demand takes its place within seconds.
+    /// Share of the engines that decode until the demand is known. Not fitted to any mix, since the first known demand replaces
+    /// it within seconds.
     double decodeShare { 0.25 };
-    /// Prompts wait for one another while outputs run side by side, so that prompts need this much more room for the same
-    /// delay: at 0.7 of what a single server can do, waiting takes as long as the work, and a fourth more room halves that.
+    /// Prompts are processed one after another while outputs run concurrently, so prefill needs this much more capacity for the
+    /// same delay: at a utilisation of 0.7 a prompt waits as long as it is processed, and 25 % more capacity halves that.
     double promptHeadroom { 1.25 };
-    /// Engines change only where the busier side then has this much less to do, as a part: less is within what the
-    /// estimates err, and a change takes an engine away for seconds.
+    /// Engines change only if that lowers the utilisation of the busier side by at least this share: smaller improvements are
+    /// within the estimation error, and a change takes an engine out of service for seconds.
     double minImprovement { 0.12 };
-    /// A change that follows the demand moves this part of the engines at most, one at least, and the next waits until its
-    /// effect is seen: a mix that swings to and fro is met half-way.
+    /// A change that follows the demand moves at most this share of the engines, but at least one, and the next waits until its
+    /// effect is visible: this dampens the response to an oscillating mix.
     double maxMovedShare { 0.1 };
-    /// Once the split follows the demand, it changes only when a side has this part of what it can do, or more. Mixes swing:
-    /// an engine that makes long outputs is back some ten seconds after its order, when the mix may have swung back.
+    /// Once the split has followed the demand, it changes only when the utilisation of a side reaches this value. An engine with
+    /// long outputs needs about ten seconds to drain and change, and a fluctuating mix may have reverted by then.
     double pressureThreshold { 0.9 };
-    std::uint32_t leastDecode { 2 }; ///< The loss of one leaves one; so many are left, too, when one group is lost at once.
+    std::uint32_t leastDecode { 2 }; ///< One remains if one fails. Also met after the loss of a failure domain.
     std::uint32_t leastPrefill { 1 };
-    /// Before the first plan, the list of engines must not have changed for this long: they list themselves one by one.
+    /// The number of listed engines must be stable this long before the first plan, since engines register one by one.
     std::chrono::milliseconds stabilisationTime { 600 };
-    /// A side that is short must stay so for this long: engines often come back within seconds, and a change takes
-    /// its engine out of service for as long.
+    /// A shortage on one side must last this long before engines change: lost engines often return within seconds, and a change
+    /// takes an engine out of service for just as long.
     std::chrono::milliseconds patience { 2'500 };
-    /// The same for the first demand that is known: what was before it was a guess, and engines that are still filling up
-    /// with outputs make each of them faster than they will.
+    /// The same for the first known demand, which replaces an assumed one. Engines with batches that are still filling up produce
+    /// each output faster than they will later.
     std::chrono::milliseconds firstPatience { 3'000 };
-    /// A side without any engine ends all work, so it is filled sooner; so is one that has too few although none of its engines may
-    /// come back.
+    /// The same for a side without any engine, which stops all work, and for a side that has too few even if all of its returning
+    /// engines are counted.
     std::chrono::milliseconds urgentPatience { 400 };
 };
 
-/// Keeps a fleet of engines, each either prefill or decode, at the split that leaves the busier side the most room: by a fixed
-/// part before there are requests, then by what these ask. Few changes in all, none on noise. Pure and not thread-safe.
+/// Splits engines into prefill and decode so that the utilisation of the busier side is lowest: by a fixed share until requests
+/// arrive, then by their demand. Makes few changes and ignores noise. Performs no I/O; not thread-safe.
 class SplitRule {
 public:
     using Time = Core::BootClock::time_point;
@@ -59,23 +59,23 @@
     {
     }
 
-    /// Returns the changes to order now. Engines that are changing count in the role ordered; those that are down do
-    /// not count. Only engines that serve and whose allowed roles contain the new one are changed.
+    /// Returns the changes to order now. Changing engines count in their target role; engines that are down do not count.
+    /// Only serving engines whose allowed roles contain the new one are changed.
     std::vector<RoleChange> plan(std::vector<EngineView> const&, SplitDemand const&, Time now);
 
-    /// Returns how many of `engines` are to decode, where `decoding` of them do.
+    /// Returns how many of `engines` should decode, given that `decoding` of them do now.
     std::uint32_t wantedDecode(std::size_t engines, std::size_t decoding, SplitDemand const&) const;
 
-    /// Returns how busy the busier side is with so many engines that decode when it loses one of them: 1 means that it can just
-    /// do its work.
+    /// Returns the utilisation of the busier side after the loss of one of its engines, or of its part of a failure domain, if
+    /// `decoding` engines decode: 1 means that capacity equals demand.
     double peakUtilisation(std::size_t engines, std::size_t decoding, SplitDemand const&) const;
 
 private:
-    /// Engines of either role; `Down` ones apart.
+    /// Number of engines in each role, with `Down` ones counted separately.
     struct Counts {
         std::uint32_t prefill { 0 };
         std::uint32_t decode { 0 };
-        std::uint32_t returningPrefill { 0 }; ///< Down, and may come back.
+        std::uint32_t returningPrefill { 0 }; ///< Down, but expected to return.
         std::uint32_t returningDecode { 0 };
 
         std::uint32_t total() const { return prefill + decode; }
@@ -92,12 +92,12 @@
 
     SplitSettings m_settings;
     std::size_t m_listedCount { 0 };
-    std::size_t m_failureDomains { 0 }; ///< Of engines that can be lost at once.
-    std::optional<Time> m_listChangedAt; ///< When the number of engines last changed.
-    std::optional<Time> m_mismatchSince; ///< Since when the split has not been as wanted.
+    std::size_t m_failureDomains { 0 }; ///< Number of groups of engines that can be lost at once.
+    std::optional<Time> m_listChangedAt; ///< When the number of listed engines last changed.
+    std::optional<Time> m_mismatchSince; ///< When the split began to differ from the wanted one.
     bool m_hasPlanned { false };
-    std::optional<Time> m_demandKnownSince; ///< Since when the demand is known.
-    bool m_hasFollowedDemand { false }; ///< The split has once been what a known demand wants, after its patience.
+    std::optional<Time> m_demandKnownSince; ///< When the demand became known.
+    bool m_hasFollowedDemand { false }; ///< Whether the split has ever been matched to a known demand.
 };
 
 }
--- a/Libraries/LibRoles/ThresholdRule.cpp
+++ b/Libraries/LibRoles/ThresholdRule.cpp
@@ -14,7 +14,7 @@
 {
     double prefillWork = (demand[0].promptTokens + demand[1].promptTokens) / m_rates.prefillTokensPerSecond;
     double outputWork = (demand[0].outputTokens + demand[1].outputTokens) / m_rates.decodeTokensPerSecond;
-    // Half an engine in place of none keeps the comparison finite.
+    // Counts an empty side as half an engine to keep the ratio finite.
     double prefill = prefillWork / std::max(0.5, split.prefill);
     double output = outputWork / std::max(0.5, split.decode + split.mixed);
     int side = prefill > m_ratio * output ? 1 : (output > m_ratio * prefill ? -1 : 0);
--- a/Libraries/LibRoles/ThresholdRule.h
+++ b/Libraries/LibRoles/ThresholdRule.h
@@ -4,13 +4,13 @@
 
 namespace Roles {
 
-/// Says which side needs an engine more: a plain rule with a factor and a time as its hysteresis.
-/// Not thread-safe: it belongs to one planner.
+/// Decides which side needs another engine, with a ratio of utilisations and a minimum duration as hysteresis.
+/// Not thread-safe: each planner has its own.
 class ThresholdRule {
 public:
     ThresholdRule(double ratio, double sustainSeconds, EngineRates const&);
 
-    /// Returns +1 when an engine should move to prefill, -1 when one should leave it, else 0.
+    /// Returns +1 if an engine should move to prefill, -1 if one should move away from it, 0 otherwise.
     int decide(Demand const&, Split const&, double seconds);
 
 private:
--- a/Tests/LibRoles/TestFleetSizer.cpp
+++ b/Tests/LibRoles/TestFleetSizer.cpp
@@ -1,4 +1,4 @@
-// The number of engines of a service, against a platform in virtual time that boots them, takes them back and has none for a while.
+// Runs the sizer in virtual time against a fake platform that boots and reclaims engines and is temporarily out of capacity.
 
 #include <LibRoles/FleetSizer.h>
 #include <algorithm>
@@ -26,7 +26,7 @@
     return offer;
 }
 
-/// A platform that carries orders out.
+/// A platform that executes orders after the boot time.
 class FakePlatform {
 public:
     explicit FakePlatform(std::uint32_t lastingPerZone)
@@ -37,7 +37,7 @@
             m_pools[{ zone, EngineKind::Reclaimable }] = {};
     }
 
-    /// Plays for a time, a step at a time. Returns the least number that served.
+    /// Advances the virtual time by a duration. Returns the smallest number of serving engines.
     std::uint32_t run(std::chrono::milliseconds duration, std::optional<double> demand)
     {
         constexpr std::chrono::milliseconds step = 100ms;
@@ -54,7 +54,7 @@
         return least;
     }
 
-    /// Takes all cheap engines of a zone back; for a time there are no others there, or nowhere.
+    /// Reclaims all reclaimable engines of a zone; for a time there is no capacity for new ones there, or everywhere.
     void reclaim(std::string const& zone, std::chrono::milliseconds scarce, bool isEverywhere = false)
     {
         m_pools[{ zone, EngineKind::Reclaimable }] = {};
@@ -93,7 +93,7 @@
     EngineOffer offer = makeOffer();
     double engineSeconds { 0 };
     std::size_t orders { 0 };
-    bool dropsOrders { false }; ///< The platform accepts what it does not carry out.
+    bool dropsOrders { false }; ///< Accepts orders without executing them.
 
 private:
     using Key = std::pair<std::string, EngineKind>;
@@ -137,24 +137,24 @@
 TEST(FleetSizer, MostEnginesAreReclaimableAndNoneStopsBeforeItsReplacementServes)
 {
     FakePlatform platform(10);
-    // Before the first requests those that could serve them stay.
+    // Before the first requests, enough engines remain to serve them.
     EXPECT_GE(platform.run(20s, std::nullopt), 16U);
     EXPECT_GE(platform.count(EngineKind::Reclaimable), 25U);
     EXPECT_LT(platform.cost(), 0.7 * 31);
-    // What can be lost at once leaves enough.
+    // Enough engines remain after the largest loss.
     std::vector<ZoneEngines> zones = platform.zones();
     std::uint32_t largest = 0;
     for (ZoneEngines const& zone : zones)
         largest = std::max(largest, zone.reclaimable);
     EXPECT_GE(platform.serving() - largest, platform.sizer.size()->strained);
     EXPECT_LT(platform.orders, 15U);
-    // Under load all do.
+    // Under load, all of them remain.
     FakePlatform loaded(10);
     EXPECT_GE(loaded.run(20s, 13.0), 30U);
     EXPECT_LE(loaded.count(EngineKind::Lasting), 6U);
 }
 
-// Guards against a zone's cheap engines taken back in the middle of a burst.
+// Guards against a shortage when a zone's reclaimable engines are lost in the middle of a burst.
 TEST(FleetSizer, ReclaimingAZoneDuringABurstLeavesEnoughEngines)
 {
     FakePlatform platform(10);
@@ -163,14 +163,14 @@
     platform.run(3s, 18.0);
     platform.reclaim("b", 9s, true);
     EXPECT_GE(platform.run(9s, 18.0), 18U);
-    // And then the next one, before the first is back.
+    // A second zone is lost before the first has recovered.
     platform.reclaim("c", 9s);
     EXPECT_GE(platform.run(9s, 18.0), 12U);
     platform.run(10s, 18.0);
     EXPECT_GE(platform.serving(), 40U);
 }
 
-// Guards against asking again and again where none are to be had, and against having none at all.
+// Guards against retrying orders in a tight loop while the platform has no capacity, and against running out of engines.
 TEST(FleetSizer, LastingEnginesServeTheDemandDuringScarcity)
 {
     FakePlatform platform(10);
@@ -181,12 +181,12 @@
     platform.run(10s, 13.0);
     EXPECT_GE(platform.serving(), platform.sizer.size()->strained);
     EXPECT_LT(platform.orders - before, 25U);
-    // They go when the cheap ones are back.
+    // The lasting engines are removed once reclaimable ones are back.
     platform.run(40s, 13.0);
     EXPECT_LE(platform.count(EngineKind::Lasting), platform.sizer.size()->lasting + 3);
 }
 
-// Guards against lasting engines that are ordered in place of cheap ones which serve, and so make more of them needed.
+// Guards against ordering lasting engines in place of serving reclaimable ones, which would require even more of them.
 TEST(FleetSizer, ReplacementsDoNotDisplaceRemainingEngines)
 {
     FakePlatform platform(10);
@@ -202,7 +202,7 @@
     EXPECT_LT(platform.serving(), 40U);
 }
 
-// Guards against orders that are accepted and not carried out, or undone by an older one that comes late.
+// Guards against orders that are accepted but not executed, or overwritten by a delayed older order.
 TEST(FleetSizer, UsesTheListedEnginesRatherThanAcceptedOrders)
 {
     FakePlatform platform(10);
@@ -214,7 +214,7 @@
     EXPECT_GE(platform.count(EngineKind::Reclaimable), 25U);
 }
 
-// Guards against a new holder that takes a fleet which has just lost a zone for what the operators want.
+// Guards against a new lease holder that takes a fleet which has just lost a zone for the intended size.
 TEST(FleetSizer, ANewLeaseHolderSizesByTheDemand)
 {
     FakePlatform platform(10);
@@ -258,6 +258,6 @@
     EXPECT_EQ(platform.sizer.explain(platform.offer), "");
     platform.run(20s, 10.0);
     std::string why = platform.sizer.explain(platform.offer);
-    EXPECT_NE(why.find("0.25 of a lasting one"), std::string::npos) << why;
-    EXPECT_NE(why.find("must be left when one availability zone's reclaimable ones are gone"), std::string::npos) << why;
+    EXPECT_NE(why.find("0.25 of a lasting engine"), std::string::npos) << why;
+    EXPECT_NE(why.find("must remain when all reclaimable engines of one availability zone are lost"), std::string::npos) << why;
 }
--- a/Tests/LibRoles/TestPlanner.cpp
+++ b/Tests/LibRoles/TestPlanner.cpp
@@ -22,7 +22,7 @@
     return view;
 }
 
-// Long prompts alone need about six engines of nine for prefill, short questions about one.
+// Of nine engines, long prompts need about six for prefill, short prompts about one.
 Roles::MixCounts longPrompts()
 {
     return { Roles::ClassCounts { 1, 200, 1, 400 }, Roles::ClassCounts { 4.5, 36000, 4.5, 630 } };
@@ -40,7 +40,7 @@
     return Planner::create(settings).value();
 }
 
-// Plays windows of a second; a change takes its engine away for `outOfService` windows.
+// Simulates windows of one second; a change takes its engine out of service for `outOfService` windows.
 int countChanges(Planner& planner, FleetView& view, int windows, std::function<Roles::MixCounts(int)> const& counts)
 {
     constexpr int outOfService = 9;
@@ -140,7 +140,7 @@
     auto wave = [](int now) { return now / 20 % 2 ? longPrompts() : shortPrompts(); };
     countChanges(planner, view, 400, wave);
     EXPECT_LE(countChanges(planner, view, 800, wave), 3);
-    // The threshold rule goes to and fro: what the planner is there to avoid.
+    // The threshold rule oscillates, which the planner is designed to avoid.
     Planner threshold = makePlanner(Policy::Threshold);
     EXPECT_GE(countChanges(threshold, view, 800, wave), 30);
 }
--- a/Tests/LibRoles/TestSplitRule.cpp
+++ b/Tests/LibRoles/TestSplitRule.cpp
@@ -11,7 +11,7 @@
 constexpr Time start { 100s };
 constexpr SplitDemand unknown {};
 
-// Engines 0 .. prefill-1 are prefill, those behind decode.
+// Engines 0 to prefill - 1 are prefill engines, the others decode.
 std::vector<EngineView> makeFleet(std::uint32_t prefill, std::uint32_t decode)
 {
     std::vector<EngineView> engines;
@@ -78,7 +78,7 @@
     EXPECT_EQ(changes.front().role, TargetRole::Decode);
 }
 
-// Guards against outputs that wait for seconds while engines which have said that they leave are taken for such that come back.
+// Guards against outputs that wait for seconds because engines that are shutting down are expected to return.
 TEST(SplitRule, AShortageFromLeavingEnginesIsFilledSooner)
 {
     SplitRule rule = makeSettledRule(makeFleet(7, 2));
@@ -91,8 +91,8 @@
     EXPECT_EQ(changes.front().role, TargetRole::Decode);
 }
 
-// Guards against two zones taken back one after the other, of which the second has half of what decodes after the first: one engine was
-// left, and outputs were refused until others had changed.
+// Guards against the loss of two zones in succession where the second holds half of the remaining decode engines: one engine was
+// left, and outputs were refused until others had changed their role.
 TEST(SplitRule, EnoughEnginesDecodeAfterTheLossOfAnyGroup)
 {
     SplitDemand fewOutputs { 8, 0.5, true };
@@ -134,7 +134,7 @@
     EXPECT_EQ(changes.front().engine, 5U);
 }
 
-// Long prompts with short outputs, in engines' worth of work: two of nine decode, what the loss of one leaves working.
+// Long prompts with short outputs, demand in engines: two of nine decode, so that one remains after a loss.
 TEST(SplitRule, LongPromptsLeaveFewEnginesToDecode)
 {
     SplitRule rule;
@@ -142,7 +142,7 @@
     EXPECT_EQ(rule.wantedDecode(60, 15, { 26.4, 4.2, true }), 8U);
 }
 
-// Chats of thousands of tokens beside prompts that share most of theirs.
+// Outputs of thousands of tokens, with prompts that share most of their prefix.
 TEST(SplitRule, LongOutputsNeedMoreDecodeEngines)
 {
     SplitRule rule;
@@ -161,12 +161,12 @@
     EXPECT_TRUE(rule.plan(makeFleet(8, 4), chats, start + 8s).empty());
     SplitDemand const more { 2.0, 4.0, true };
     EXPECT_TRUE(rule.plan(makeFleet(8, 4), more, start + 9s).empty());
-    EXPECT_TRUE(rule.plan(makeFleet(8, 4), chats, start + 10s).empty()) << "a swing that is over";
+    EXPECT_TRUE(rule.plan(makeFleet(8, 4), chats, start + 10s).empty()) << "the mix has reverted";
     EXPECT_TRUE(rule.plan(makeFleet(8, 4), more, start + 11s).empty());
     EXPECT_EQ(rule.plan(makeFleet(8, 4), more, start + 13500ms).size(), 1U);
     SplitDemand const less { 4.0, 3.0, true };
     for (int n = 14; n < 30; ++n)
-        EXPECT_TRUE(rule.plan(makeFleet(7, 5), less, start + std::chrono::seconds(n)).empty()) << "another split would be better, but nobody waits for long";
+        EXPECT_TRUE(rule.plan(makeFleet(7, 5), less, start + std::chrono::seconds(n)).empty()) << "another split would be better, but neither side is under pressure";
 }
 
 TEST(SplitRule, IgnoresNoise)
@@ -186,7 +186,7 @@
     EXPECT_EQ(rule.wantedDecode(2, 0, { 1, 1, true }), 1U);
 }
 
-// A third of the engines takes a third longer: the longest outputs end in time on the others only.
+// A third of the engines is 30 % slower: only the others finish the longest outputs in time.
 TEST(SplitRule, FastEnginesDecode)
 {
     SplitRule rule = makeSettledRule(makeFleet(9, 3));
