--- a/Libraries/LibRouting/Candidate.h
+++ b/Libraries/LibRouting/Candidate.h
@@ -7,23 +7,23 @@
 
 namespace Routing {
 
-/// A target that labels and selectors allow for the request at hand. The caller of the router drops all
-/// others beforehand: nothing selected means nothing allowed.
+/// A target that labels and selectors allow for the request being routed. The caller of the router filters out
+/// all others beforehand: no selected target means that none is allowed.
 struct Candidate {
-    std::uint32_t target { 0 }; ///< The caller's own number for it.
+    std::uint32_t target { 0 }; ///< Identifier assigned by the caller.
     TargetRole role { TargetRole::Mixed };
     ZoneDistance distance { ZoneDistance::SameZone };
-    bool closed { false }; ///< Draining, changing, leaving, suspected or at its limit: gets no new work.
-    std::uint32_t prefixMatchTokens { 0 }; ///< Prompt tokens whose KV cache it is believed to hold.
+    bool closed { false }; ///< Draining, changing, leaving, suspected or at its limit; receives no new work.
+    std::uint32_t prefixMatchTokens { 0 }; ///< Prompt tokens whose KV cache it is assumed to hold.
     Load load;
-    TargetWork open; ///< Sent by all daemons and not ended, as far as known. For `Policy::PromptHome`.
-    bool isHome { false }; ///< Of the prompt's shared part: whoever computes it should do so here.
-    bool isSecondHome { false }; ///< Of the prompt's shared part.
-    bool fetchesFarKv { false }; ///< The prompt's KV cache would come from another availability zone.
-    std::uint64_t preference { 0 }; ///< The daemon's own for this target, the same at each decision: the greatest are its own few.
-    std::uint32_t slots { 0 }; ///< Requests that it runs at once; 0: not known.
-    double promptFactor { 1 }; ///< How many times as long as others of its service it takes for a prompt,
-    double eventFactor { 1 }; ///< and for an event of a stream.
+    TargetWork open; ///< Known unfinished work sent by all daemons. Used by `Policy::PromptHome`.
+    bool isHome { false }; ///< Whether it is the home of the prompt's shared part, where that part should be computed.
+    bool isSecondHome { false }; ///< Whether it is the second home of the prompt's shared part.
+    bool fetchesFarKv { false }; ///< Whether the prompt's KV cache would be transferred from another availability zone.
+    std::uint64_t preference { 0 }; ///< This daemon's constant preference for the target; it samples the most preferred ones.
+    std::uint32_t slots { 0 }; ///< Requests that it runs concurrently; 0: unknown.
+    double promptFactor { 1 }; ///< Prompt time relative to other targets of its service.
+    double eventFactor { 1 }; ///< Time per stream event relative to other targets of its service.
 };
 
 }
--- a/Libraries/LibRouting/Decision.h
+++ b/Libraries/LibRouting/Decision.h
@@ -8,18 +8,18 @@
 
 namespace Routing {
 
-/// Why a target won, or why none did.
+/// Why a target was chosen, or why none was.
 enum class Reason : std::uint8_t {
-    NoCandidate, ///< The span was empty: nothing is selected for this work.
-    AllClosed, ///< Every candidate in a fitting role is closed.
+    NoCandidate, ///< The span was empty: no target is selected for this request.
+    AllClosed, ///< Every candidate in a suitable role is closed.
     NoFittingRole, ///< No candidate is in a role that takes this phase.
-    NoOutputTarget, ///< Its prompt could be computed, but no open candidate would make its output.
+    NoOutputTarget, ///< A target could prefill, but no open candidate could decode.
     OnlyCandidate,
     RandomDraw,
     LeastLoad,
     LessLoadedOfSample,
     RecheckKept, ///< The sample's winner still beats the other after correction.
-    RecheckMoved, ///< It does not: the other was taken.
+    RecheckMoved, ///< It does not: the other was chosen.
     CachedPrefix, ///< It holds a longer prefix and its load is within the bound.
     EarliestToken, ///< Its estimated time to the first token is the least.
 };
@@ -39,16 +39,16 @@
     { Reason::EarliestToken, "earliest-token" },
 } };
 
-/// The outcome of a routing decision, with what its log line shows.
+/// The outcome of a routing decision, including the fields for its log line.
 struct Decision {
-    std::optional<std::size_t> chosen; ///< Position in the candidates.
-    std::optional<std::size_t> runnerUp; ///< Position of the second best, if one was looked at.
+    std::optional<std::size_t> chosen; ///< Index into the candidates.
+    std::optional<std::size_t> runnerUp; ///< Index of the second best, if one was compared.
     std::uint32_t target { 0 }; ///< `Candidate::target` of the chosen one.
-    TargetRole role { TargetRole::Mixed }; ///< Its role: `Prefill` means that the output needs a second decision.
+    TargetRole role { TargetRole::Mixed }; ///< Role of the chosen target; after `Prefill`, the output needs a second decision.
     Reason reason { Reason::NoCandidate };
-    double score { 0 }; ///< Estimated seconds until the first token could come, penalties included. Less is better.
+    double score { 0 }; ///< Estimated seconds to the first token, including penalties. Lower is better.
     double runnerUpScore { 0 };
-    double waitSeconds { 0 }; ///< The estimate without penalties: what an admission check compares with the deadline.
+    double waitSeconds { 0 }; ///< The estimate without penalties, which admission control compares with the deadline.
     std::uint32_t considered { 0 }; ///< Candidates whose score was computed.
 };
 
--- a/Libraries/LibRouting/DemandMeter.cpp
+++ b/Libraries/LibRouting/DemandMeter.cpp
@@ -49,7 +49,7 @@
     if (it == m_sums.end())
         return {};
     Sums const& sums = it->second;
-    // At the start less than a whole window was seen. One single request says nothing of a rate.
+    // Shortly after the start, less than a full window has been observed. A single request gives no estimate of a rate.
     constexpr double leastSeen = 0.1;
     double seen = std::max(leastSeen, 1 - std::exp(-windows(now - sums.since)));
     double seconds = std::chrono::duration<double>(window).count();
--- a/Libraries/LibRouting/LoadTable.cpp
+++ b/Libraries/LibRouting/LoadTable.cpp
@@ -39,7 +39,7 @@
     if (it.report && report.asOf <= it.report->asOf)
         return false;
     it.report = report;
-    // The interval that the report falls into stays counted: too much for a moment rather than too little.
+    // The report's own interval stays counted: a brief overestimate is better than an underestimate.
     std::int64_t firstKept = intervalOf(report.asOf);
     std::int64_t end = std::min(firstKept, it.firstKept + static_cast<std::int64_t>(it.intervals.size()));
     for (std::int64_t number = it.firstKept; number < end; ++number)
@@ -49,7 +49,7 @@
     return true;
 }
 
-// Empties the place of an interval, unless a later one that the report does not include stands there.
+// Clears the slot of an interval, unless a later interval that the report does not include occupies it.
 void LoadTable::takeAway(Target& target, std::int64_t number, std::int64_t firstKept)
 {
     Interval& interval = target.intervals[static_cast<std::size_t>(number) % target.intervals.size()];
@@ -59,7 +59,7 @@
     interval = Interval {};
 }
 
-// Starts from the report and lets the target work on, interval by interval.
+// Recomputes the backlog from the report, draining and adding interval by interval.
 void LoadTable::replay(Target& target) const
 {
     Time::duration width = m_settings.interval;
@@ -97,7 +97,7 @@
     }
     std::int32_t requests = static_cast<std::int32_t>(counts.requestsSent) - static_cast<std::int32_t>(counts.requestsEnded);
     std::int32_t tokens = static_cast<std::int32_t>(counts.promptTokensSent);
-    // A prompt that is done was partly done when the report was made: taking it all away would count twice.
+    // A finished prompt may have been partly computed at the report's snapshot: subtracting all of it would count twice.
     tokens -= isShrinking ? 0 : static_cast<std::int32_t>(counts.promptTokensDone);
     interval.requests += requests;
     interval.promptTokens += tokens;
--- a/Libraries/LibRouting/LoadTable.h
+++ b/Libraries/LibRouting/LoadTable.h
@@ -10,10 +10,10 @@
 
 namespace Routing {
 
-/// A point of the monotonic clock, handed in by the caller.
+/// A time point of the monotonic clock, supplied by the caller.
 using Time = std::chrono::steady_clock::time_point;
 
-/// What a target says of itself, and the time at which it was so on this daemon's clock.
+/// A target's load snapshot, and its time on this daemon's clock.
 struct LoadReport {
     Time asOf;
     std::uint32_t running { 0 };
@@ -23,28 +23,28 @@
     std::uint32_t kvCapacityTokens { 0 };
 };
 
-/// Work that was sent to a target or that ended there, as counted by a daemon over some time.
+/// Work that was sent to a target or ended there, as counted by a daemon during an interval.
 struct LoadCounts {
     std::uint32_t requestsSent { 0 };
     std::uint32_t requestsEnded { 0 };
     std::uint32_t promptTokensSent { 0 };
-    std::uint32_t promptsSent { 0 }; ///< Requests sent that have a prompt to compute.
-    std::uint32_t promptTokensDone { 0 }; ///< Of requests whose first token came (or whose prefill ended).
+    std::uint32_t promptsSent { 0 }; ///< Sent requests that have a prompt to compute.
+    std::uint32_t promptTokensDone { 0 }; ///< Of requests whose first token arrived or whose prefill ended.
 
     bool operator==(LoadCounts const&) const = default;
 };
 
-/// What one daemon knows of the load of each target: the newest report, and the counts since the state
-/// that it shows. Counts are kept in short intervals, so that a report takes away just those which it
-/// already includes, however late it comes. Not thread-safe: one owner, or a lock around it.
+/// What one daemon knows about the load of each target: the newest report, and the counts since its
+/// snapshot. Counts are kept in short intervals, so that a report supersedes only those that it already
+/// includes, however late it arrives. Not thread-safe: needs a single owner or a lock.
 class LoadTable {
 public:
     struct Settings {
         std::chrono::milliseconds interval { 100 }; ///< Width of an interval.
-        std::size_t intervals { 64 }; ///< Counts older than interval * intervals are forgotten.
+        std::size_t intervals { 64 }; ///< Counts older than interval * intervals are discarded.
 
-        /// How fast a target works its prompts off: what was reported waiting, and what was sent since, is
-        /// taken to shrink at this rate. 0: it shrinks by the counts of prompts done alone.
+        /// Assumed prefill rate of a target: the reported backlog and the prompts sent since then are assumed
+        /// to drain at this rate. 0: the backlog decreases only by counts of finished prompts.
         double promptTokensPerSecond { 7600 };
 
         double rateSeconds { 3 }; ///< Time constant of the rates of prompts sent to a target.
@@ -53,33 +53,32 @@
     /// Creates an empty table. Fails with `BadInput` when a setting is zero.
     static Core::Result<LoadTable> create(Settings);
 
-    /// Makes room for targets 0 .. n-1. Those beyond are forgotten.
+    /// Sets the targets to 0 .. n-1 and removes those beyond.
     void resize(std::size_t n);
 
-    /// Number of targets.
     std::size_t size() const { return m_targets.size(); }
 
-    /// Takes a report in. Returns false, and changes nothing, when it is no newer than the one known.
+    /// Applies a report. Returns false, without a change, when it is not newer than the current one.
     /// Precondition: target < size().
     bool report(std::size_t target, LoadReport const&);
 
-    /// Adds counts of this daemon or of a peer at time `now`. Counts that come out of order are added as
-    /// long as their interval is still kept. Precondition: target < size().
+    /// Adds counts of this daemon or of a peer at time `now`. Counts that arrive out of order are added as
+    /// long as their interval is still retained. Precondition: target < size().
     void count(std::size_t target, LoadCounts const&, Time now);
 
-    /// Shorthand: a request with so many prompt tokens left to compute was sent.
+    /// Counts a sent request with this number of uncached prompt tokens.
     void sent(std::size_t target, std::uint32_t promptTokens, Time now) { count(target, { 1, 0, promptTokens, 1, 0 }, now); }
 
-    /// Shorthand: the prompt of a request sent earlier is done.
+    /// Counts the finished prefill of a request that was sent earlier.
     void prefilled(std::size_t target, std::uint32_t promptTokens, Time now) { count(target, { 0, 0, 0, 0, promptTokens }, now); }
 
-    /// Shorthand: a request ended, in whichever way.
+    /// Counts a finished request, whatever its outcome.
     void ended(std::size_t target, Time now) { count(target, { 0, 1, 0, 0, 0 }, now); }
 
-    /// Forgets what is known of a target, as after a new incarnation. Precondition: target < size().
+    /// Clears the state of a target, for example when a new incarnation starts. Precondition: target < size().
     void forget(std::size_t target);
 
-    /// What is known at `now`. Precondition: target < size().
+    /// Returns the load as known at `now`. Precondition: target < size().
     Load load(std::size_t target, Time now) const;
 
 private:
@@ -91,16 +90,16 @@
     struct Interval {
         std::int64_t number { -1 };
         std::int32_t requests { 0 };
-        std::int32_t promptTokens { 0 }; ///< Sent; less those done when nothing is taken to shrink by itself.
+        std::int32_t promptTokens { 0 }; ///< Sent tokens; minus finished ones if no drain rate is set.
     };
 
     struct Target {
         std::optional<LoadReport> report;
-        std::int64_t firstKept { 0 }; ///< Intervals before this one are part of the report.
+        std::int64_t firstKept { 0 }; ///< Earlier intervals are included in the report.
         std::int32_t requests { 0 };
-        double backlog { 0 }; ///< Prompt tokens waiting at `backlogTime`, as estimated.
+        double backlog { 0 }; ///< Estimated number of waiting prompt tokens at `backlogTime`.
         Time backlogTime {};
-        double promptRate { 0 }; ///< Prompts and their tokens a second sent to it, at `rateTime`.
+        double promptRate { 0 }; ///< Prompts and prompt tokens sent to it per second, as of `rateTime`.
         double tokenRate { 0 };
         Time rateTime {};
         std::vector<Interval> intervals;
--- a/Libraries/LibRouting/OpenWork.cpp
+++ b/Libraries/LibRouting/OpenWork.cpp
@@ -33,7 +33,7 @@
     open.prefillSeconds = std::max(0.0, open.prefillSeconds - work.prefillSeconds);
     open.requests -= std::min(open.requests, work.requests);
     open.kvTokens -= std::min(open.kvTokens, work.kvTokens);
-    // Sums of fractions fall a little short of nothing.
+    // Rounding errors leave a small remainder above zero.
     constexpr double nothing = 1e-6;
     if (open.requests == 0 && open.prefillSeconds < nothing)
         m_own.erase(it);
--- a/Libraries/LibRouting/OutlierFinder.cpp
+++ b/Libraries/LibRouting/OutlierFinder.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint32_t mostDoublings = 8;
 
-// How far the part bad / all lies above that of others, in standard deviations of the difference.
+// Returns how far the failure rate bad / all exceeds that of the others, in standard deviations of the difference.
 double deviations(double bad, double all, double otherBad, double otherAll)
 {
     if (all <= 0 || otherAll <= 0)
@@ -94,7 +94,7 @@
             out += isOutlier(target, now) ? 1 : 0;
         }
         auto most = static_cast<std::size_t>(static_cast<double>(group.size()) * m_settings.mostOfGroup);
-        // The worst first, for not all may be out.
+        // Worst first, since the number of ejected targets is limited.
         std::sort(counts.begin(), counts.end(), [](OutcomeCounts const& a, OutcomeCounts const& b) { return a.bad > b.bad; });
         for (OutcomeCounts const& it : counts) {
             double own = it.bad + static_cast<double>(it.good);
@@ -116,7 +116,7 @@
     std::chrono::milliseconds hold = m_settings.firstHold * (1U << std::min(known.timesOut, mostDoublings));
     known.outUntil = now + std::min(hold, m_settings.longestHold);
     ++known.timesOut;
-    // What it did before is judged; what it does next is judged anew.
+    // Earlier outcomes led to this ejection and must not cause another.
     known.window = {};
 }
 
--- a/Libraries/LibRouting/OutlierFinder.h
+++ b/Libraries/LibRouting/OutlierFinder.h
@@ -8,34 +8,35 @@
 
 namespace Routing {
 
-/// How requests ended at one target. `target` is the same number at every daemon.
+/// Outcomes of requests at one target. All daemons use the same `target` identifier.
 struct OutcomeCounts {
     std::uint64_t target { 0 };
     std::uint32_t good { 0 };
-    std::uint32_t bad { 0 }; ///< Answered with a failure of the target's own, or broken off.
+    std::uint32_t bad { 0 }; ///< Failed by the target itself, or interrupted.
 
     bool operator==(OutcomeCounts const&) const = default;
 };
 
-/// When a target counts as an outlier, and for how long.
+/// When a target is ejected as an outlier, and for how long.
 struct OutlierSettings {
     std::chrono::milliseconds slot { 500 };
-    std::uint32_t leastBad { 5 }; ///< Single failures happen to sound targets.
-    double leastShare { 0.4 }; ///< A target that does better than this is worth more than none.
-    /// How far its part of bad requests must be above the others', in standard deviations of that difference (the test of
-    /// two proportions). The users' services fail some 14 in 100 by themselves: at 17 requests a window and target chance
-    /// alone passes 3 once in five minutes, and a target that fails half of its work passes it in most windows.
+    std::uint32_t leastBad { 5 }; ///< Healthy targets have occasional failures.
+    double leastShare { 0.4 }; ///< A target with a lower failure rate still adds capacity.
+    /// How far its failure rate must exceed that of the others, in standard deviations of the difference (two-proportion
+    /// z-test). The users' services have a base failure rate of about 14 %: with 17 requests per target and window, 3 is
+    /// exceeded by chance once in five minutes, and in most windows by a target that fails half of its requests.
     double deviations { 3.0 };
-    /// It gets work again after this, doubled each time that it fails again: only work shows whether it is well.
+    /// Duration of the first ejection, doubled each time it fails again: only real requests show whether it has recovered.
     std::chrono::milliseconds firstHold { 1'000 };
     std::chrono::milliseconds longestHold { 8'000 };
-    std::chrono::milliseconds forgiveAfter { 10'000 }; ///< Without being an outlier again.
-    /// A group keeps this part of its targets, whatever they do: where all fail, moving work brings nothing.
+    std::chrono::milliseconds forgiveAfter { 10'000 }; ///< Time without another ejection after which the doubling resets.
+    /// Maximum share of a group that is ejected: where all targets fail, moving requests does not help.
     double mostOfGroup { 0.5 };
 };
 
-/// Finds targets that answer much worse than the others that do the same work: a target that fails at once looks idle, and
-/// would draw more and more requests. Counts come from all daemons, for each alone sees few. Pure and not thread-safe.
+/// Detects targets that fail much more often than others that do the same work: a target that fails immediately looks idle
+/// and would attract more and more requests. Counts of all daemons are combined, since each sees few requests. Performs no
+/// I/O. Not thread-safe.
 class OutlierFinder {
 public:
     using Time = std::chrono::steady_clock::time_point;
@@ -45,26 +46,26 @@
     {
     }
 
-    /// Notes the end of a request that this daemon sent.
+    /// Records the outcome of a request that this daemon sent.
     void note(std::uint64_t target, bool isGood, Time now);
 
-    /// Returns what this daemon noted since the last call, for its peers.
+    /// Returns the outcomes that this daemon recorded since the last call, to be sent to its peers.
     std::vector<OutcomeCounts> takeUntold();
 
-    /// Takes what a peer noted.
+    /// Adds the outcomes that a peer recorded.
     void take(std::vector<OutcomeCounts> const&, Time now);
 
-    /// Sets the groups of targets that do the same work, and forgets all others.
+    /// Sets the groups of targets that do the same work, and removes all other targets.
     void setGroups(std::vector<std::vector<std::uint64_t>> groups);
 
-    /// Finds outliers anew. Returns those that were none before.
+    /// Updates the set of outliers. Returns the new ones.
     std::vector<OutcomeCounts> update(Time now);
 
-    /// Whether a target should get no work while others of its group can.
+    /// Returns whether a target should receive no work while others of its group are available.
     bool isOutlier(std::uint64_t target, Time now) const;
 
 private:
-    static constexpr std::size_t slots = 10; ///< 5 s: some 20 requests a target at the users' rates.
+    static constexpr std::size_t slots = 10; ///< 5 s: about 20 requests per target at the users' rates.
 
     struct Slot {
         std::int64_t number { -1 };
--- a/Libraries/LibRouting/Policy.h
+++ b/Libraries/LibRouting/Policy.h
@@ -5,15 +5,15 @@
 
 namespace Routing {
 
-/// How a target is chosen among the allowed ones. docs/design/routing.md compares them.
+/// How a target is chosen among the allowed candidates. docs/design/routing.md compares them.
 enum class Policy : std::uint8_t {
     Random, ///< Uniformly at random.
     LeastReported, ///< The least load as last reported.
-    PeekTwo, ///< The less loaded, as reported, of two at random.
-    PeekTwoRecheck, ///< As PeekTwo; the winner is kept only if it still beats the other with what was sent since.
-    LeastCorrected, ///< The least load, corrected for what was sent since the report.
-    PrefixAffinity, ///< Of those within a bound of the least corrected load, the least work left after cached prefixes.
-    PromptHome, ///< The least time to the first token, where a shared part of the prompt has a home among the targets.
+    PeekTwo, ///< The one of two random targets with the lower reported load.
+    PeekTwoRecheck, ///< As PeekTwo; the winner is kept only if it still beats the other after correction for requests sent since.
+    LeastCorrected, ///< The least load, corrected for requests sent since the report.
+    PrefixAffinity, ///< Among targets within a bound of the least corrected load, the least work left after cached prefixes.
+    PromptHome, ///< The least time to the first token; shared parts of prompts are assigned to home targets.
 };
 
 inline constexpr Core::EnumNames<Policy, 7> policyNames { {
--- a/Libraries/LibRouting/PrefixIndex.cpp
+++ b/Libraries/LibRouting/PrefixIndex.cpp
@@ -51,7 +51,7 @@
 {
     Entry& entry = findOrReplace(hash);
     entry.lastUse = ++m_useCount;
-    // The newest holder stands first; the oldest falls out.
+    // Ordered by recency: the newest holder is first, and the oldest is dropped.
     auto it = std::find(entry.targets.begin(), entry.targets.end(), target);
     if (it == entry.targets.end())
         it = std::prev(entry.targets.end());
--- a/Libraries/LibRouting/PromptHomes.cpp
+++ b/Libraries/LibRouting/PromptHomes.cpp
@@ -4,7 +4,7 @@
 
 std::uint64_t homeWeight(std::uint64_t part, std::uint64_t target)
 {
-    // The finalizer of MurmurHash3 over both: no structure of either number is left.
+    // The MurmurHash3 finalizer over both values removes any structure in them.
     std::uint64_t number = part ^ (target * 0x9e3779b97f4a7c15ULL);
     number = (number ^ (number >> 33U)) * 0xff51afd7ed558ccdULL;
     number = (number ^ (number >> 33U)) * 0xc4ceb9fe1a85ec53ULL;
--- a/Libraries/LibRouting/PromptHomes.h
+++ b/Libraries/LibRouting/PromptHomes.h
@@ -6,16 +6,16 @@
 
 namespace Routing {
 
-/// Which target holds a shared part of prompts, without a word between daemons: rendezvous hashing over the targets
-/// of the moment. When a target comes or goes, only the parts that it holds or will hold move.
+/// Assigns shared parts of prompts to targets without coordination between daemons, by rendezvous hashing over the
+/// current targets. When a target is added or removed, only the parts assigned to it move.
 
-/// The weight of a target for a part: the greatest has the part's home. Thread-safe.
+/// Returns the weight of a target for a part: the target with the greatest weight is the part's home. Thread-safe.
 std::uint64_t homeWeight(std::uint64_t part, std::uint64_t target);
 
-/// Positions among targets; their number where there is no such home.
+/// Indices into the targets; equal to the number of targets where there is no such home.
 struct Homes {
     std::size_t first { 0 };
-    std::size_t second { 0 }; ///< Where the part goes when its home is too busy, the same for all daemons.
+    std::size_t second { 0 }; ///< Used when the first home is too busy; the same at all daemons.
 };
 
 /// Returns the homes of a part among the targets. Thread-safe.
--- a/Libraries/LibRouting/PromptSpeed.cpp
+++ b/Libraries/LibRouting/PromptSpeed.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-// Some two hundred prompts, ten seconds of one daemon's, outweigh what was before.
+// The last two hundred prompts, about ten seconds of one daemon's traffic, outweigh all earlier ones.
 constexpr double memoryOfPrompts = 0.995;
-// An estimate that a fifth of the prompts stays below, where waiting makes a third of them slower by any amount.
+// Puts the estimate at about the 20th percentile, since queueing slows a third of the prompts by any amount.
 constexpr double weightAbove = 0.2;
-// The shape counts as much as this part of a prompt that has nothing but the one part: enough to tell parts apart that all
-// prompts have alike, and little beside the few in a hundred of a prompt's time that its beginning takes.
+// Regularization towards the prior shape, relative to one prompt that consists of a single cost term: enough to separate
+// terms that are collinear in all prompts, and little compared with the few percent of a prompt's time that setup takes.
 constexpr double weightOfShape = 0.02;
 constexpr double farAbove = 2.0;
 constexpr double farBelow = 0.5;
-// So many more that are far off than that fit: the engines have changed, or the first prompts misled.
+// This excess of outliers over other prompts means that the engines changed, or that the first prompts were misleading.
 constexpr std::uint32_t farOffUntilRestart = 12;
 constexpr double million = 1e6;
 
@@ -74,8 +74,7 @@
     return isFar;
 }
 
-// The engines are so many times as slow as the estimate says as the lower ones of the prompts that were far off: it begins
-// anew from there.
+// Restarts the estimate, scaled by the lower third of the outliers' ratios of measured to estimated time.
 void PromptSpeed::restart()
 {
     std::vector<double>::iterator lower = m_farOffRatios.begin() + static_cast<std::ptrdiff_t>(m_farOffRatios.size() / 3);
@@ -93,7 +92,7 @@
     m_prompts = 1;
 }
 
-// Weighted least squares of three parts, each drawn a little towards the shape.
+// Weighted least squares over three terms, regularized towards the prior shape.
 void PromptSpeed::solve()
 {
     std::array<Vector, parts> a = m_sums;
@@ -103,7 +102,7 @@
         a[n][n] += weightOfShape / (shape[n] * shape[n]);
         b[n] += weightOfShape / shape[n];
     }
-    // Gauss's elimination; the diagonal is above 0, and the matrix positive definite.
+    // Gaussian elimination without pivoting: the matrix is positive definite and its diagonal is above 0.
     for (std::size_t pivot = 0; pivot < parts; ++pivot) {
         for (std::size_t row = pivot + 1; row < parts; ++row) {
             double factor = a[row][pivot] / a[pivot][pivot];
@@ -119,7 +118,7 @@
             rest -= a[n][column] * solution[column];
         solution[n] = rest / a[n][n];
     }
-    // No part of a cost is below nothing.
+    // Keep each cost term positive.
     constexpr double leastOfShape = 0.01;
     m_cost.setupSeconds = std::max(solution[0], leastOfShape * shape[0]);
     m_cost.secondsPerToken = std::max(solution[1], leastOfShape * shape[1]);
--- a/Libraries/LibRouting/PromptSpeed.h
+++ b/Libraries/LibRouting/PromptSpeed.h
@@ -7,33 +7,33 @@
 
 namespace Routing {
 
-/// One prompt and the time that an engine took for it.
+/// One prompt and its measured prefill time.
 struct PromptTime {
-    std::uint64_t newTokens { 0 }; ///< That it computed.
-    std::uint64_t allTokens { 0 }; ///< Of the prompt, those that it had computed before included.
+    std::uint64_t newTokens { 0 }; ///< Tokens that the engine computed.
+    std::uint64_t allTokens { 0 }; ///< Tokens of the prompt, including those that were cached.
     double seconds { 0 };
 };
 
-/// Learns what engines of one kind take for a prompt, from prompts that were alone at their engine as far as their senders
-/// knew. Some were not, which makes them slower and never faster, and of some the engine kept more, or less, than was
-/// believed: so a prompt above the estimate counts a fifth of one below it, and one that is far off not at all, unless
-/// nearly all are, as after a change of the engines' software. Pure and not thread-safe.
+/// Learns the prompt cost of one kind of engine from prompts that, as far as their sender knew, ran alone at their engine.
+/// Some did not, which only makes them slower, and for some the engine had cached more or less than assumed. So a prompt
+/// above the estimate has a fifth of the weight of one below it, and outliers are ignored unless nearly all prompts are
+/// outliers, for example after an update of the engines' software. Performs no I/O. Not thread-safe.
 class PromptSpeed {
 public:
-    /// `shape`: how the three parts of the cost stand to each other until prompts tell; its scale does not matter.
+    /// `shape` gives the initial ratios of the three cost terms; its scale does not matter.
     explicit PromptSpeed(PromptCost const& shape = {});
 
-    /// Takes a prompt in. One without new tokens or time is passed over.
+    /// Adds a measured prompt. Prompts without new tokens or time are ignored.
     void add(PromptTime const&);
 
-    /// The estimate; the shape itself before the first prompt.
+    /// Returns the estimate; before the first prompt, the initial shape.
     PromptCost cost() const { return m_cost; }
 
-    /// How many prompts the estimate is made from.
+    /// Returns the number of prompts that the estimate is based on.
     std::uint32_t prompts() const { return m_prompts; }
 
 private:
-    static constexpr std::size_t parts = 3; ///< Setup, new tokens, pairs.
+    static constexpr std::size_t parts = 3; ///< Setup, new tokens, attention pairs.
     using Vector = std::array<double, parts>;
 
     bool isFarOff(double ratio);
@@ -42,11 +42,11 @@
 
     PromptCost m_shape;
     PromptCost m_cost;
-    std::array<Vector, parts> m_sums {}; ///< Of products of the parts of each prompt, as shares of its estimate.
-    Vector m_timeSums {}; ///< Of those parts and its time, likewise.
+    std::array<Vector, parts> m_sums {}; ///< Normal matrix: products of each prompt's cost terms, relative to its estimate.
+    Vector m_timeSums {}; ///< Right-hand side: products of those terms and the measured time.
     std::uint32_t m_prompts { 0 };
-    std::uint32_t m_farOff { 0 }; ///< In a row, nearly,
-    std::vector<double> m_farOffRatios; ///< and how far each was.
+    std::uint32_t m_farOff { 0 }; ///< Rises with each outlier and falls with each other prompt.
+    std::vector<double> m_farOffRatios; ///< Measured time over estimate, of each of those outliers.
 };
 
 }
--- a/Libraries/LibRouting/RequestShape.h
+++ b/Libraries/LibRouting/RequestShape.h
@@ -5,18 +5,18 @@
 
 namespace Routing {
 
-/// What the router needs to know of a request.
+/// The properties of a request that the router uses.
 struct RequestShape {
     Phase phase { Phase::Whole };
     std::uint8_t priority { 5 }; ///< 0 is served first, 9 last.
     std::uint32_t promptTokens { 0 };
     std::uint32_t expectedOutputTokens { 0 };
-    double pendingOutputs { 0 }; ///< Requests that each target which decodes will get from prefill targets; see `pendingOutputs()`.
-    double unseenRequests { 0 }; ///< That peers are expected to have sent to each target that fits since they last spoke.
-    std::uint64_t prefixHash { 0 }; ///< Of the longest reusable prefix; 0: none. Logged only; matches are in the candidates.
-    double outputSeconds { 0 }; ///< That its output takes on average engines, as learnt; 0: not known.
-    PromptCost promptCost {}; ///< Of the engines that serve it, as learnt.
-    std::uint32_t sharedTokens { 0 }; ///< Of the prompt: its beginning, which other requests have too.
+    double pendingOutputs { 0 }; ///< Requests that each decoding target will get from prefill targets; see `pendingOutputs()`.
+    double unseenRequests { 0 }; ///< Estimated requests per suitable target that peers have sent since their last reports.
+    std::uint64_t prefixHash { 0 }; ///< Hash of the longest reusable prefix; 0: none. Only logged; matches are in the candidates.
+    double outputSeconds { 0 }; ///< Learned duration of its output on an average engine; 0: unknown.
+    PromptCost promptCost {}; ///< Learned cost model of the engines that serve it.
+    std::uint32_t sharedTokens { 0 }; ///< Length of the prompt's beginning that other requests share.
 };
 
 }
--- a/Libraries/LibRouting/Router.cpp
+++ b/Libraries/LibRouting/Router.cpp
@@ -148,7 +148,7 @@
 
 Decision Router::decideRandom(std::span<Candidate const> candidates, RequestShape const& shape, std::mt19937_64& rng) const
 {
-    // With a zone penalty the nearer of two draws is taken, the first one where they are equally near.
+    // With a zone penalty, the nearer of two random candidates is chosen, or the first one if both are equally near.
     bool isNear = m_settings.zonePenaltySeconds[2] > 0;
     Sample sample = Sample::draw(candidates, shape.phase, isNear ? 2 : 1, rng);
     Best best;
@@ -193,8 +193,8 @@
     }
     if (m_settings.policy == Policy::PeekTwo || best.second == noPosition)
         return finish(candidates, shape, best, Reason::LessLoadedOfSample);
-    // Lin's paper, section 4.3, steps (a) to (c): the winner is kept unless what is known by now makes it
-    // worse than what the second showed.
+    // Lin's paper, section 4.3, steps (a) to (c): the winner is kept unless its corrected score is worse than the
+    // reported score of the second.
     Candidate const& winner = candidates[best.first];
     double now = waitSeconds(winner, shape, true) + zonePenalty(winner);
     if (now <= best.secondScore)
@@ -207,7 +207,7 @@
 
 Decision Router::decideAffinity(std::span<Candidate const> candidates, RequestShape const& shape, std::mt19937_64& rng) const
 {
-    // Of very many candidates only a sample is compared, and those that hold a prefix.
+    // Above the scan limit, only a sample and the candidates that hold a prefix are compared.
     if (candidates.size() <= m_settings.scanLimit)
         return decideAffinityAmong(candidates, shape, rng, candidates.size(), [](std::size_t i) { return i; });
     Sample sample = Sample::draw(candidates, shape.phase, m_settings.wideSampleSize, rng);
--- a/Libraries/LibRouting/Router.h
+++ b/Libraries/LibRouting/Router.h
@@ -10,22 +10,22 @@
 
 namespace Routing {
 
-/// Chooses a target for a request among the candidates that selectors allow. It holds settings alone:
+/// Chooses a target for a request among the candidates that selectors allow. Its only state is the settings:
 /// the same candidates, shape and generator state give the same decision. See docs/design/routing.md.
 class Router {
 public:
     /// Creates a router. Fails with `BadInput` when a setting is out of its range.
     static Core::Result<Router> create(Settings);
 
-    /// Decides. A closed candidate, or one whose role does not take the phase, is never chosen.
-    /// Allocates nothing. Thread-safe as long as each thread has its own generator.
+    /// Chooses a target. A closed candidate, or one whose role does not take the phase, is never chosen.
+    /// Does not allocate. Thread-safe as long as each thread has its own generator.
     Decision decide(std::span<Candidate const>, RequestShape const&, std::mt19937_64&) const;
 
-    /// Estimated seconds until the candidate could give the request's first token, without zone penalty.
-    /// `isCorrected` adds what was sent since the report. Thread-safe.
+    /// Returns the estimated seconds to the request's first token, without its own prefill time and the
+    /// zone penalty. `isCorrected` adds the work sent since the report. Thread-safe.
     double waitSeconds(Candidate const&, RequestShape const&, bool isCorrected) const;
 
-    /// The settings that it was created with. Thread-safe.
+    /// Returns the settings that it was created with. Thread-safe.
     Settings const& settings() const { return m_settings; }
 
 private:
@@ -55,8 +55,8 @@
     Settings m_settings;
 };
 
-/// Returns how many requests now at prefill targets will come to each open target that decodes, on average.
-/// An admission check that ignores them accepts what will find no slot. Thread-safe.
+/// Returns the average number of requests now at prefill targets that each open decoding target will receive.
+/// An admission check that ignores them would accept requests that find no free slot. Thread-safe.
 double pendingOutputs(std::span<Candidate const>);
 
 /// Returns whether a target in this role takes this phase of a request. Thread-safe.
--- a/Libraries/LibRouting/RouterHome.cpp
+++ b/Libraries/LibRouting/RouterHome.cpp
@@ -1,11 +1,11 @@
-// The part of Router that decides by Policy::PromptHome.
+// Implements Policy::PromptHome for Router.
 
 #include <LibRouting/RouterParts.h>
 #include <algorithm>
 
 namespace Routing {
 
-// The estimated seconds until the request's first token, and what choosing this target costs those that come after.
+// Returns the estimated seconds to the request's first token, plus the cost of this choice for later requests.
 double Router::homeScore(Candidate const& candidate, RequestShape const& shape) const
 {
     double outputs = candidate.open.requests * m_settings.decodeSeconds * candidate.eventFactor;
@@ -22,13 +22,13 @@
     double seconds = shape.promptCost.seconds(shape.promptTokens - cached, shape.promptTokens) * candidate.promptFactor;
     if (candidate.role != TargetRole::Prefill)
         return wait + seconds * m_settings.besideFactor;
-    // What computing the shared part costs beyond the rest, which is computed wherever it goes.
+    // The extra cost of computing the shared part; the rest has to be computed at any target.
     double stray = candidate.isHome || cached >= shared ? 0 : seconds - shape.promptCost.seconds(shape.promptTokens - shared, shape.promptTokens) * candidate.promptFactor;
     return wait + seconds + stray * (candidate.isSecondHome ? m_settings.secondHomeWeight : m_settings.strayWeight);
 }
 
-// Whatever peers have sent since they last spoke went by the same words: of n targets the one that looks best to all gets d / n of
-// it when each daemon compares d that it draws.
+// All daemons choose by the same stale reports: if each compares d random targets of n, the one that looks best to all
+// receives d / n of the requests that peers have sent since their last reports.
 std::size_t Router::comparedTargets(std::size_t candidates, RequestShape const& shape) const
 {
     if (shape.unseenRequests <= 0)
@@ -46,12 +46,12 @@
     if (isSampled)
         sample = Sample::drawOwn(candidates, shape.phase, compared, m_settings.ownTargets, rng);
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        // Where a prompt's shared part is, or belongs, differs from prompt to prompt: no herd goes there.
+        // The targets that hold a shared part, or are its home, differ between prompts, so comparing them causes no herding.
         bool isCompared = !isSampled || candidates[i].isHome || candidates[i].isSecondHome || candidates[i].prefixMatchTokens > 0 || sample.contains(i);
         if (isCompared && isOpen(candidates[i], shape.phase))
             best.offer(i, homeScore(candidates[i], shape) + zonePenalty(candidates[i]), rng);
     }
-    // Without a prefill target, one that decodes computes the prompt too, beside its outputs.
+    // Without an open prefill target, a decode target computes the prompt as well, concurrently with its outputs.
     for (std::size_t i = 0; best.first == noPosition && shape.phase == Phase::WholeOrPrefill && i < candidates.size(); ++i) {
         if (isOpen(candidates[i], Phase::Decode))
             best.offer(i, homeScore(candidates[i], shape) + zonePenalty(candidates[i]), rng);
--- a/Libraries/LibRouting/RouterParts.h
+++ b/Libraries/LibRouting/RouterParts.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What the router's policies share: the best candidates of a pass, and samples of them. For the router's own files.
+// Helpers shared by the router's policies: tracking of the best candidates, and sampling. Internal to the router.
 
 #include <LibRouting/Router.h>
 #include <algorithm>
@@ -13,7 +13,7 @@
 inline constexpr std::size_t noPosition = std::numeric_limits<std::size_t>::max();
 inline constexpr std::size_t maxSampleSize = 64;
 
-// Uniform over 0 .. n-1. The multiplication's bias is below n / 2^64.
+// Returns a uniform random number in 0 .. n-1. The bias of the multiplication is below n / 2^64.
 inline std::size_t uniform(std::mt19937_64& rng, std::size_t n)
 {
     return static_cast<std::size_t>((static_cast<unsigned __int128>(rng()) * n) >> 64);
@@ -24,8 +24,8 @@
     return !candidate.closed && takes(candidate.role, phase);
 }
 
-/// The two least scores seen so far. Equal scores are decided by an even draw, so that daemons with the
-/// same knowledge do not all choose the first.
+/// The two lowest scores seen so far. Ties are broken uniformly at random, so that daemons with the same
+/// state do not all choose the first candidate.
 struct Router::Best {
     std::size_t first { noPosition };
     std::size_t second { noPosition };
@@ -52,7 +52,7 @@
     }
 };
 
-/// Distinct open candidates, each set of its size being equally likely.
+/// A uniform random sample of distinct open candidates.
 struct Router::Sample {
     std::array<std::size_t, maxSampleSize> positions {};
     std::size_t size { 0 };
@@ -67,7 +67,7 @@
         Sample sample;
         if (candidates.empty())
             return sample;
-        // Rejection is cheap while most candidates are open; else one pass draws from all of them.
+        // Rejection sampling is cheap while most candidates are open; otherwise fall back to reservoir sampling.
         std::size_t tries = 8 * wanted;
         while (sample.size < wanted && tries-- > 0) {
             std::size_t position = uniform(rng, candidates.size());
@@ -79,7 +79,7 @@
         return sample;
     }
 
-    // Draws from the open candidates that the daemon prefers.
+    // Samples from this daemon's most preferred open candidates.
     static Sample drawOwn(std::span<Candidate const> candidates, Phase phase, std::size_t wanted, std::size_t own, std::mt19937_64& rng)
     {
         Sample sample;
@@ -88,7 +88,7 @@
         for (std::size_t i = 0; i < candidates.size(); ++i) {
             if (!isOpen(candidates[i], phase))
                 continue;
-            // A heap whose front is the least preferred of those taken so far.
+            // A heap whose front is the least preferred of those selected so far.
             auto begin = sample.positions.begin();
             if (sample.size == own && !isPreferred(i, sample.positions[0]))
                 continue;
--- a/Libraries/LibRouting/ServiceReport.h
+++ b/Libraries/LibRouting/ServiceReport.h
@@ -6,7 +6,7 @@
 
 namespace Routing {
 
-/// What a daemon tells the others of one service's engines: what its requests ask of them, and what it has learnt of them.
+/// A daemon's report to its peers about one service: the demand of its requests and the learned speed of the engines.
 struct ServiceReport {
     std::string service;
     EngineDemand demand;
--- a/Libraries/LibRouting/SpeedBook.cpp
+++ b/Libraries/LibRouting/SpeedBook.cpp
@@ -5,15 +5,15 @@
 
 namespace {
 
-// Of a peer that was not heard for longer, others know better.
+// Estimates of a peer that has been silent for longer are discarded; other peers have fresher ones.
 constexpr std::chrono::seconds peerLifetime { 30 };
-// A service's events are many, some hundred a second at each daemon: their mean follows within seconds.
+// A daemon sees several hundred events of a service per second, so the mean adapts within seconds.
 constexpr double eventShare = 0.01;
-// Gaps above the mean count a fifth of those below: what engines take when they are not crowded.
+// Gaps above the mean have a fifth of the weight, so that the mean reflects engines that are not overloaded.
 constexpr double weightAbove = 0.2;
-// The mean time that a request is open follows within some twenty of them: seconds at each daemon.
+// The mean open time adapts within about twenty requests, which takes a daemon a few seconds.
 constexpr double openTimeShare = 0.05;
-// A target's own factor follows within twenty of its prompts or streams' events, and one outlier moves it little.
+// A target's factor adapts within twenty prompts or stream events, and a single outlier has little effect.
 constexpr double targetShare = 0.05;
 constexpr double leastFactor = 0.5;
 constexpr double mostFactor = 4;
@@ -39,7 +39,7 @@
     if (mean <= 0)
         mean = seconds;
     follow(m_targets[target].eventFactor, seconds / mean);
-    // A pause, as after a preemption, is no speed, and engines with more outputs than they should have are slower for that.
+    // A pause, for example after a preemption, is not the engine's speed, and overloaded engines are slower than usual.
     double weight = seconds > mean ? weightAbove : 1;
     mean += eventShare * weight * (std::min(seconds, mostFactor * mean) - mean);
 }
@@ -74,7 +74,7 @@
         if (now - peer.second.at > peerLifetime)
             continue;
         ServiceSpeed const& said = peer.second.speed;
-        // The one that has seen the most knows best, unless this daemon has seen enough itself.
+        // Use the estimate with the most samples, unless this daemon has enough of its own.
         if (speed.prompts < enoughPrompts && said.prompts > speed.prompts) {
             speed.prompts = said.prompts;
             speed.promptCost = said.promptCost;
--- a/Libraries/LibRouting/SpeedBook.h
+++ b/Libraries/LibRouting/SpeedBook.h
@@ -11,55 +11,55 @@
 
 namespace Routing {
 
-/// What engines of one service take, as a daemon has learnt it.
+/// Engine speed of one service, as learned by a daemon.
 struct ServiceSpeed {
     PromptCost promptCost;
-    std::uint32_t prompts { 0 }; ///< That it was learnt from; 0: not learnt.
-    double eventSeconds { 0 }; ///< Between two events of a stream, of engines that are not crowded; 0: not learnt.
+    std::uint32_t prompts { 0 }; ///< Number of prompts it was learned from; 0: not learned.
+    double eventSeconds { 0 }; ///< Time between two events of a stream at engines that are not overloaded; 0: not learned.
 
     bool operator==(ServiceSpeed const&) const = default;
 };
 
-/// How fast engines are, learnt from the requests that daemons send: nobody declares it, it differs between engines of one
-/// service, and an engine may turn slow. Until a daemon has seen enough itself it goes by what its peers have learnt. Pure
-/// and not thread-safe.
+/// Learns engine speeds from the requests that daemons send: speeds are not configured, differ between engines of one
+/// service, and an engine may become slow. Until a daemon has enough samples, it uses the estimates of its peers. Performs
+/// no I/O. Not thread-safe.
 class SpeedBook {
 public:
     using Time = std::chrono::steady_clock::time_point;
 
-    /// Notes a prompt that was computed at a target, alone as far as is known.
+    /// Records a prompt that a target computed, without known concurrent prompts.
     void notePrompt(std::string const& service, std::uint64_t target, PromptTime const&);
 
-    /// Notes the time between two events of a stream from a target.
+    /// Records the time between two events of a stream from a target.
     void noteEventGap(std::string const& service, std::uint64_t target, double seconds);
 
-    /// Notes how long a request of this daemon was open at a target in that role.
+    /// Records how long a request of this daemon was open at a target in that role.
     void noteOpenTime(std::string const& service, TargetRole, double seconds);
 
-    /// Returns how long requests stay open at targets in that role; 0: not learnt.
+    /// Returns the mean time that requests stay open at targets in that role; 0: not learned.
     double openSeconds(std::string const& service, TargetRole) const;
 
-    /// Returns what engines of a service take, from this daemon's own requests or else from its peers'.
+    /// Returns the engine speed of a service, from this daemon's own requests or else from its peers'.
     ServiceSpeed speed(std::string const& service, Time now) const;
 
-    /// Returns how many times as long as others of its service a target takes: for prompts, and for events of streams.
+    /// Returns a target's time relative to others of its service, for prompts and for stream events.
     double promptFactor(std::uint64_t target) const;
     double eventFactor(std::uint64_t target) const;
 
-    /// What this daemon has learnt itself, for its peers.
+    /// Returns the estimate from this daemon's own requests, to be sent to its peers.
     ServiceSpeed own(std::string const& service) const;
 
-    /// Takes what a peer has learnt, in place of what it said before.
+    /// Replaces the previous estimate of a peer.
     void takePeer(std::string const& service, std::string const& peer, ServiceSpeed const&, Time now);
 
-    /// Forgets targets that are not among these.
+    /// Removes targets that are not in `keys`.
     template <typename Keys>
     void keepTargets(Keys const& keys)
     {
         std::erase_if(m_targets, [&keys](std::pair<std::uint64_t const, TargetSpeed> const& it) { return !keys.contains(it.first); });
     }
 
-    /// A daemon's own prompts count alone from this many on: the estimate is then within some 10 in 100.
+    /// From this many own prompts on, peers' estimates are ignored: the own estimate is then within about 10 %.
     static constexpr std::uint32_t enoughPrompts = 30;
 
 private:
--- a/Libraries/LibRouting/TargetHealth.cpp
+++ b/Libraries/LibRouting/TargetHealth.cpp
@@ -23,7 +23,7 @@
         failing.isReplaced = true;
     if (outcome == TargetOutcome::Broken && ++failing.brokenInARow < m_settings.brokenInARow)
         return;
-    // Several requests that were under way together fail together.
+    // Concurrent requests fail together; count them once.
     if (now < failing.closedUntil)
         return;
     std::chrono::milliseconds closing = m_settings.firstClosing * (1U << std::min(failing.failures, mostDoublings));
@@ -41,7 +41,7 @@
 {
     std::vector<std::uint64_t> targets;
     for (std::pair<std::uint64_t const, Failing> const& it : m_failing) {
-        // One whose time is over stays suspect until a send to it ends well.
+        // A target stays suspected for a short time after it reopens, unless a send to it succeeds.
         bool isRecent = it.second.failures > 0 && now < it.second.closedUntil + m_settings.firstClosing;
         if (isRecent || it.second.isReplaced)
             targets.push_back(it.first);
--- a/Libraries/LibRouting/TargetHealth.h
+++ b/Libraries/LibRouting/TargetHealth.h
@@ -8,14 +8,14 @@
 
 namespace Routing {
 
-/// How a send to a target ended, as far as it tells of the target.
+/// Outcome of a send to a target, as evidence of the target's health.
 enum class TargetOutcome : std::uint8_t {
-    Answered, ///< It answered well.
-    Failed, ///< It answered with a failure of its own.
-    Refused, ///< It said that it did not run the request.
+    Answered, ///< It answered successfully.
+    Failed, ///< It answered with an error of its own.
+    Refused, ///< It reported that it did not run the request.
     Unreachable, ///< No connection could be made.
-    Replaced, ///< Another one has its address: it will not come back.
-    Broken, ///< The connection ended before the answer did.
+    Replaced, ///< Another target has its address; it will not come back.
+    Broken, ///< The connection closed before the answer was complete.
 };
 
 inline constexpr Core::EnumNames<TargetOutcome, 6> targetOutcomeNames { {
@@ -27,18 +27,18 @@
     { TargetOutcome::Broken, "broken" },
 } };
 
-/// Times and counts of the belief in targets.
+/// Timeouts and thresholds of `TargetHealth`.
 struct TargetHealthSettings {
-    /// After a failed connection; doubled by each further one. A restarted target comes back under another name, so
-    /// what is to be found out by trying again is only whether a path has healed.
+    /// Backoff after a failed connection, doubled by each further one. A restarted target comes back under another name,
+    /// so retries only find out whether the network path has recovered.
     std::chrono::milliseconds firstClosing { 500 };
     std::chrono::milliseconds longestClosing { 4'000 };
-    /// So many broken answers in a row count as a failed connection: single ones happen to sound targets.
+    /// This many consecutive broken answers count as a failed connection: healthy targets have occasional ones.
     std::uint32_t brokenInARow { 3 };
 };
 
-/// Which targets this daemon sends nothing to for a while, by how its own sends ended. The platform's list says that a
-/// target is gone only after three missed heartbeats; requests tell it at once. Not thread-safe.
+/// Tracks which targets this daemon temporarily avoids, by the outcomes of its own sends. The platform's list drops a
+/// target only after three missed heartbeats; failed requests show it immediately. Not thread-safe.
 class TargetHealth {
 public:
     using Time = std::chrono::steady_clock::time_point;
@@ -48,16 +48,16 @@
     {
     }
 
-    /// Notes how a send ended. `target` is the same number at every daemon.
+    /// Records the outcome of a send. All daemons use the same `target` identifier.
     void note(std::uint64_t target, TargetOutcome, Time now);
 
-    /// Whether nothing is to be sent to the target now.
+    /// Returns whether nothing should be sent to the target now.
     bool isClosed(std::uint64_t target, Time now) const;
 
-    /// Returns the targets that could not be reached lately, for peers and for whoever plans roles.
+    /// Returns the targets that were recently unreachable, for peers and for the role planner.
     std::vector<std::uint64_t> suspects(Time now) const;
 
-    /// Forgets a target that is listed no more.
+    /// Removes a target that is no longer listed.
     void forget(std::uint64_t target) { m_failing.erase(target); }
 
 private:
--- a/Libraries/LibRouting/TargetNotices.cpp
+++ b/Libraries/LibRouting/TargetNotices.cpp
@@ -5,9 +5,9 @@
 
 namespace {
 
-// A word that is a mistake must not close a target for ever.
+// An erroneous notice must not close a target forever.
 constexpr std::chrono::milliseconds longestPause = std::chrono::hours(1);
-// Longer than a store is away at a time, and a target that has gone from the list comes back to it.
+// Longer than a typical store outage, after which a target that dropped off the list is listed again.
 constexpr std::chrono::seconds keepUnlisted { 60 };
 
 }
--- a/Libraries/LibRouting/TargetNotices.h
+++ b/Libraries/LibRouting/TargetNotices.h
@@ -9,30 +9,30 @@
 
 namespace Routing {
 
-/// What a target says of itself in the head of an answer, whatever it answers.
+/// A target's notice about itself in the header of any answer.
 struct TargetNotice {
-    bool isLeaving { false }; ///< It will end, and wants no new requests.
-    std::optional<std::chrono::milliseconds> pause {}; ///< It wants nothing from this daemon for so long.
+    bool isLeaving { false }; ///< It is shutting down and accepts no new requests.
+    std::optional<std::chrono::milliseconds> pause {}; ///< How long this daemon should send it nothing.
 
     bool operator==(TargetNotice const&) const = default;
 };
 
-/// What targets have said of themselves to this daemon. A word holds for the incarnation that said it, and nothing that is older or
-/// comes from elsewhere takes it back. Pure and not thread-safe.
+/// The notices that targets have sent to this daemon. A notice applies to the incarnation that sent it, and is not overridden by
+/// older information or by other sources. Performs no I/O. Not thread-safe.
 class TargetNotices {
 public:
     using Time = Core::BootClock::time_point;
 
-    /// Notes a target's word. Returns whether it is new that the target leaves.
+    /// Records a target's notice. Returns whether it is the first one that says that the target is leaving.
     bool note(std::uint64_t target, TargetNotice const&, Time now);
 
-    /// Whether nothing is to be sent to the target now.
+    /// Returns whether nothing should be sent to the target now.
     bool isClosed(std::uint64_t target, Time now) const;
 
-    /// Returns when a target that wants nothing for a while may be sent to again; nothing for one that leaves, or wants it now.
+    /// Returns when the pause of a target ends; no value if the target is leaving or not paused.
     std::optional<Time> opensAt(std::uint64_t target, Time now) const;
 
-    /// Forgets targets that have not been listed for long. An entry may lapse and come back with the same incarnation.
+    /// Removes targets that have been unlisted for long. An entry may lapse and come back with the same incarnation.
     void keepListed(std::set<std::uint64_t> const& listed, Time now);
 
 private:
--- a/Libraries/LibRouting/TargetRole.h
+++ b/Libraries/LibRouting/TargetRole.h
@@ -5,10 +5,10 @@
 
 namespace Routing {
 
-/// The work that a target takes. Plain services are always `Mixed`.
+/// The kind of work that a target accepts. Plain services are always `Mixed`.
 enum class TargetRole : std::uint8_t {
-    Prefill, ///< Prompts only; the KV cache is exported.
-    Decode, ///< Output only, from an imported KV cache.
+    Prefill, ///< Only prompts; the KV cache is exported.
+    Decode, ///< Only output, from an imported KV cache.
     Mixed, ///< Whole requests, and output from an imported KV cache.
 };
 
--- a/Libraries/LibRouting/ZoneDistance.h
+++ b/Libraries/LibRouting/ZoneDistance.h
@@ -5,7 +5,7 @@
 
 namespace Routing {
 
-/// How far a target is from the daemon that decides.
+/// Distance of a target from the routing daemon.
 enum class ZoneDistance : std::uint8_t {
     SameZone,
     SameRegion,
--- a/Tests/LibRouting/TestDemandMeter.cpp
+++ b/Tests/LibRouting/TestDemandMeter.cpp
@@ -6,7 +6,7 @@
 using namespace Routing;
 using namespace std::chrono_literals;
 
-// `rate` requests a second, each with so much work.
+// Records `rate` requests per second for `duration`, each with this work.
 DemandMeter::Time offer(DemandMeter& meter, DemandMeter::Time from, std::chrono::milliseconds duration, int rate, EngineDemand const& work)
 {
     DemandMeter::Time now = from;
@@ -17,7 +17,7 @@
 
 }
 
-TEST(DemandMeter, TellsTheWorkOfASecondFromTheStart)
+TEST(DemandMeter, MeasuresDemandPerSecondFromTheStart)
 {
     DemandMeter meter;
     EXPECT_EQ(meter.demand("llm", DemandMeter::Time(1s)), EngineDemand());
@@ -29,9 +29,9 @@
     EXPECT_NEAR(meter.meanPrompt("llm"), 0.02, 1e-6);
 }
 
-// The users' mix swings between long prompts and long outputs every 2.8 s, which no change of roles could follow, and to
-// another level for 14 s, which one can.
-TEST(DemandMeter, LevelsShortSwingsAndFollowsLongOnes)
+// The users' mix alternates between long prompts and long outputs every 2.8 s, which role changes cannot follow, and stays at
+// another level for 14 s, which they can.
+TEST(DemandMeter, SmoothsShortSwingsAndFollowsLongOnes)
 {
     DemandMeter meter;
     DemandMeter::Time now { 1s };
@@ -49,7 +49,7 @@
     EXPECT_GT(meter.demand("llm", now).outputs, 200);
 }
 
-TEST(DemandMeter, FadesWhenNobodyAsks)
+TEST(DemandMeter, DecaysWithoutRequests)
 {
     DemandMeter meter;
     DemandMeter::Time now = offer(meter, DemandMeter::Time(1s), 8s, 50, { 0.02, 2, 0 });
--- a/Tests/LibRouting/TestLoadTable.cpp
+++ b/Tests/LibRouting/TestLoadTable.cpp
@@ -14,7 +14,7 @@
     return Time(milliseconds(ms));
 }
 
-// Without the rate, sums are exact; the rate has its own tests.
+// Without a drain rate, sums are exact; the drain rate has its own tests.
 LoadTable makeTable(double promptTokensPerSecond = 0)
 {
     LoadTable::Settings settings;
@@ -26,7 +26,7 @@
 
 }
 
-TEST(LoadTable, AReportTakesAwayOnlyWhatItIncludes)
+TEST(LoadTable, AReportSupersedesOnlyTheCountsThatItIncludes)
 {
     LoadTable table = makeTable();
     table.sent(0, 100, at(1000));
@@ -40,7 +40,7 @@
     EXPECT_EQ(table.load(1, at(2300)).requestsSince, 0);
 }
 
-TEST(LoadTable, ALateReportChangesNothing)
+TEST(LoadTable, AnOutdatedReportIsIgnored)
 {
     LoadTable table = makeTable();
     EXPECT_TRUE(table.report(0, { at(2000), 5, 0, 0, 0, 0 }));
@@ -49,7 +49,7 @@
     EXPECT_EQ(table.load(0, at(2000)).running, 5U);
 }
 
-TEST(LoadTable, CountsFromBeforeTheReportAreNotAddedTwice)
+TEST(LoadTable, CountsFromBeforeTheReportAreIgnored)
 {
     LoadTable table = makeTable();
     EXPECT_TRUE(table.report(0, { at(2000), 5, 0, 0, 0, 0 }));
@@ -60,7 +60,7 @@
     EXPECT_EQ(table.load(0, at(2600)).promptTokensSince, 500);
 }
 
-TEST(LoadTable, OldCountsAreForgotten)
+TEST(LoadTable, OldCountsAreDiscarded)
 {
     LoadTable table = makeTable();
     table.sent(0, 100, at(1000));
@@ -68,21 +68,21 @@
     EXPECT_EQ(table.load(0, at(7400)).promptTokensSince, 50);
 }
 
-TEST(LoadTable, BacklogShrinksAtTheRateAndNeverBelowZero)
+TEST(LoadTable, BacklogDrainsAtTheRateAndNeverBelowZero)
 {
     LoadTable table = makeTable(1000);
     EXPECT_TRUE(table.report(0, { at(1000), 1, 0, 500, 0, 0 }));
     EXPECT_EQ(table.load(0, at(1200)).promptTokensSince, -200);
     EXPECT_EQ(table.load(0, at(9000)).promptTokensSince, -500);
-    // Sent after it had nothing left: all of it waits.
+    // Sent after the backlog was empty: all of it waits.
     table.sent(0, 800, at(9000));
     EXPECT_EQ(table.load(0, at(9100)).promptTokensSince, -500 + 700);
-    // What was done is already in the rate.
+    // The drain rate already accounts for finished prompts.
     table.prefilled(0, 800, at(9100));
     EXPECT_EQ(table.load(0, at(9100)).promptTokensSince, -500 + 700);
 }
 
-TEST(LoadTable, AReportReplaysWhatWasSentAfterIt)
+TEST(LoadTable, AReportReplaysLaterCounts)
 {
     LoadTable table = makeTable(1000);
     table.sent(0, 300, at(1050));
@@ -92,7 +92,7 @@
     EXPECT_EQ(table.load(0, at(2350)).promptTokensSince, 500);
 }
 
-// Against a list of all counts: the sums are those of the intervals not covered by the newest report.
+// Model test against a list of all counts: the sums are those of the intervals not covered by the newest report.
 RC_GTEST_PROP(LoadTable, SumsMatchAListOfAllCounts, ())
 {
     LoadTable table = makeTable();
--- a/Tests/LibRouting/TestOutlierFinder.cpp
+++ b/Tests/LibRouting/TestOutlierFinder.cpp
@@ -10,7 +10,7 @@
 
 constexpr Time start { 100s };
 
-// `n` requests of a target, of which the first `bad` fail.
+// Records `n` requests at a target, the first `bad` of which fail.
 void end(OutlierFinder& finder, std::uint64_t target, int n, int bad, Time now = start)
 {
     for (int k = 0; k < n; ++k)
@@ -19,7 +19,7 @@
 
 }
 
-TEST(OutlierFinder, ATargetThatFailsWhatOthersDoWellIsOneForAWhile)
+TEST(OutlierFinder, ATargetThatFailsMoreThanOthersIsEjectedTemporarily)
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2, 3 } });
@@ -35,7 +35,7 @@
     EXPECT_TRUE(finder.update(start + 100ms).empty());
 }
 
-TEST(OutlierFinder, OneThatFailsAgainIsOutForLongerAndIsForgivenLater)
+TEST(OutlierFinder, RepeatedFailuresLengthenTheEjectionUntilItResets)
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2 } });
@@ -50,7 +50,7 @@
     EXPECT_FALSE(finder.isOutlier(1, start + 21s));
 }
 
-TEST(OutlierFinder, WhereAllFailNobodyIsOne)
+TEST(OutlierFinder, NoTargetIsEjectedWhereAllFail)
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2, 3, 4 } });
@@ -70,8 +70,8 @@
     EXPECT_FALSE(finder.isOutlier(6, start));
 }
 
-// Each of 90 daemons sends a target one request in ten seconds; together they see that it fails.
-TEST(OutlierFinder, ManyDaemonsThatEachSeeLittleKnowTogether)
+// With 90 daemons, each sends a target one request in ten seconds; only the combined counts show that it fails.
+TEST(OutlierFinder, CombinesTheCountsOfManyDaemons)
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2, 3 } });
@@ -86,7 +86,7 @@
     EXPECT_EQ(finder.update(start).size(), 1U);
 }
 
-TEST(OutlierFinder, WhatIsLongAgoDoesNotCount)
+TEST(OutlierFinder, IgnoresOutcomesOutsideTheWindow)
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2 } });
@@ -96,8 +96,8 @@
     EXPECT_TRUE(finder.update(start + 6s).empty());
 }
 
-// A service that fails 14 in 100 by itself, some 17 requests a target in a window: ten minutes of chance alone.
-TEST(OutlierFinder, ChanceAloneSeldomMakesOne)
+// A service with a base failure rate of 14 %, about 17 requests per target and window, for ten minutes.
+TEST(OutlierFinder, RandomFailuresSeldomEjectATarget)
 {
     std::mt19937_64 rng(1);
     std::bernoulli_distribution fails(0.14);
--- a/Tests/LibRouting/TestPrefixIndex.cpp
+++ b/Tests/LibRouting/TestPrefixIndex.cpp
@@ -33,7 +33,7 @@
     EXPECT_EQ(matches[2].tokens, 500U);
 }
 
-TEST(PrefixIndex, EvictionsAndGapsAreHeeded)
+TEST(PrefixIndex, AppliesEvictionsAndForgetsTargets)
 {
     PrefixIndex index = PrefixIndex::create(100).value();
     index.routed(chain, 1);
@@ -45,7 +45,7 @@
     EXPECT_EQ(matchesOf(index, chain)[0].target, 2U);
 }
 
-TEST(PrefixIndex, OldestHolderAndOldestPrefixFallOut)
+TEST(PrefixIndex, EvictsTheOldestHolderAndTheOldestPrefix)
 {
     PrefixIndex index = PrefixIndex::create(8).value();
     for (std::uint32_t target = 0; target < 5; ++target)
@@ -60,7 +60,7 @@
     EXPECT_EQ(matchesOf(index, { { 2, 10 } }).size(), 1U);
 }
 
-TEST(PrefixIndex, RefusesNoCapacity)
+TEST(PrefixIndex, RefusesZeroCapacity)
 {
     EXPECT_TRUE(PrefixIndex::create(0).has_error());
 }
--- a/Tests/LibRouting/TestPromptHomes.cpp
+++ b/Tests/LibRouting/TestPromptHomes.cpp
@@ -41,10 +41,10 @@
     return router.decide(candidates, shape, random);
 }
 
-// What an engine of the test takes: 51,100 tokens a second, and as much again for attending at 60,000.
+// Cost model of the test's engines: 51,100 tokens per second; at 60,000 tokens, attention costs as much again.
 constexpr PromptCost engineCost { 1.0 / 51'100, 0.000323, 0.0053 };
 
-// A history: a long part that many requests share, and a part of its own.
+// A conversation history: a long prefix that many requests share, and a part of its own.
 RequestShape history()
 {
     RequestShape shape;
@@ -58,7 +58,7 @@
 
 }
 
-TEST(PromptHomes, MoveOnlyWithTheirTarget)
+TEST(PromptHomes, MoveOnlyWhenTheirTargetIsRemoved)
 {
     std::vector<std::uint64_t> targets { 11, 22, 33, 44, 55, 66, 77 };
     std::vector<std::uint64_t> fewer { 11, 22, 33, 55, 66, 77 };
@@ -84,7 +84,7 @@
     EXPECT_EQ(homesOf(1, one).second, 1U);
 }
 
-TEST(PromptHomeRouting, AHistoryStaysAtHomeUntilThatCostsMoreThanReadingItAgain)
+TEST(PromptHomeRouting, AHistoryStaysAtHomeUntilThatCostsMoreThanRecomputingIt)
 {
     std::vector<Candidate> candidates { candidate(0, TargetRole::Prefill), candidate(1, TargetRole::Prefill, 0.5), candidate(2, TargetRole::Prefill) };
     candidates[1].prefixMatchTokens = 13'300;
@@ -94,8 +94,8 @@
     EXPECT_EQ(decide(candidates, history()).target, 2U);
 }
 
-// At the start of a day, and after a home was lost, nothing is cached yet: a part is still computed at its home, yet its
-// whole cost counts, so that the wait there is not taken for a quarter of what it will be.
+// After a start or the loss of a home, nothing is cached yet: a part is still computed at its home, but its full cost
+// counts, or the wait there would be estimated at a quarter of its actual value.
 TEST(PromptHomeRouting, AColdHomeIsStillTheHomeAndCountsTheWholePrompt)
 {
     std::vector<Candidate> candidates { candidate(0, TargetRole::Prefill), candidate(1, TargetRole::Prefill, 0.3) };
@@ -108,8 +108,8 @@
     EXPECT_NEAR(cold.waitSeconds - warm.waitSeconds, engineCost.seconds(history().promptTokens, history().promptTokens) - engineCost.seconds(history().promptTokens - 13'300, history().promptTokens), 1e-6);
 }
 
-// Two cold homes, one of them 3 s behind: computing the part elsewhere costs what it costs at home, and no more.
-TEST(PromptHomeRouting, AColdHomeThatIsFarBehindIsLeft)
+// Neither home has the part cached, and the first has 5 s of open prefills: computing the part at the second costs no more.
+TEST(PromptHomeRouting, AnOverloadedColdHomeIsAvoided)
 {
     std::vector<Candidate> candidates { candidate(0, TargetRole::Prefill, 5.0), candidate(1, TargetRole::Prefill) };
     candidates[0].isHome = true;
@@ -117,7 +117,7 @@
     EXPECT_EQ(decide(candidates, history()).target, 1U);
 }
 
-TEST(PromptHomeRouting, AShortQuestionGoesWhereItIsServedFirst)
+TEST(PromptHomeRouting, AShortPromptGoesToTheEarliestTarget)
 {
     std::vector<Candidate> candidates { candidate(0, TargetRole::Prefill, 0.2), candidate(1, TargetRole::Prefill, 0.4), candidate(2, TargetRole::Prefill, 0.3) };
     candidates[1].prefixMatchTokens = 350;
@@ -127,7 +127,7 @@
     EXPECT_EQ(decide(candidates, shape).target, 0U);
 }
 
-TEST(PromptHomeRouting, AnOutputGoesToTheLeastBusyDecodeTargetNearItsKvCache)
+TEST(PromptHomeRouting, AnOutputGoesToTheLeastBusyDecodeTargetInTheZoneOfItsKvCache)
 {
     std::vector<Candidate> candidates { candidate(0, TargetRole::Decode, 0, 20), candidate(1, TargetRole::Decode, 0, 18), candidate(2, TargetRole::Prefill) };
     RequestShape shape = history();
@@ -139,7 +139,7 @@
     EXPECT_EQ(decide(candidates, shape).target, 1U);
 }
 
-TEST(PromptHomeRouting, WithoutAPrefillTargetADecodeTargetTakesTheWhole)
+TEST(PromptHomeRouting, WithoutAPrefillTargetADecodeTargetTakesTheWholeRequest)
 {
     std::vector<Candidate> candidates { candidate(0, TargetRole::Prefill), candidate(1, TargetRole::Decode) };
     candidates[0].closed = true;
@@ -157,8 +157,8 @@
     EXPECT_EQ(urgencyOf(2, 0.059), 9);
 }
 
-// A third of the engines is slower: they get less, not none.
-TEST(PromptHomeRouting, ASlowTargetGetsLessOfBoth)
+// A third of the engines is slower: these receive less work, but some.
+TEST(PromptHomeRouting, ASlowTargetGetsFewerPromptsAndOutputs)
 {
     std::vector<Candidate> prompts { candidate(0, TargetRole::Prefill, 0.1), candidate(1, TargetRole::Prefill, 0.12) };
     prompts[0].promptFactor = 1.3;
@@ -177,7 +177,7 @@
     EXPECT_EQ(decide(outputs, shape).target, 1U) << "a long output would not end in time at the slow one";
 }
 
-TEST(OpenWork, AddsUpWhatAllDaemonsSent)
+TEST(OpenWork, SumsTheWorkOfAllDaemons)
 {
     OpenWork::Time now { 100s };
     OpenWork work;
@@ -186,7 +186,7 @@
     work.setPeer("b", { { 7, { 0.3, 2, 100 } } }, now);
     EXPECT_NEAR(work.total(7, now).prefillSeconds, 0.6, 1e-9);
     EXPECT_EQ(work.total(7, now).requests, 3U);
-    // What a peer said holds until it says something else, or for a while.
+    // A peer's report holds until its next report or its expiry.
     work.setPeer("b", {}, now + 100ms);
     EXPECT_EQ(work.total(7, now + 100ms).requests, 1U);
     work.setPeer("c", { { 7, { 0, 5, 0 } } }, now);
@@ -196,8 +196,8 @@
     EXPECT_TRUE(work.own().empty());
 }
 
-// Three hundred daemons speak every second and a half: open work must not be forgotten between two words of a peer.
-TEST(OpenWork, CountsAPeerUntilItWouldHaveSpokenAgain)
+// Three hundred daemons report every 1.5 s: open work must not expire between two reports of a peer.
+TEST(OpenWork, KeepsAPeersReportForItsLifetime)
 {
     OpenWork::Time now { 100s };
     OpenWork work;
@@ -206,7 +206,7 @@
     EXPECT_EQ(work.total(7, now + 4'426ms).requests, 0U);
 }
 
-TEST(OpenWork, TellsHowStaleTheWordsOfPeersAre)
+TEST(OpenWork, WeighsOpenWorkByTheAgeOfPeerReports)
 {
     OpenWork::Time now { 100s };
     OpenWork work;
@@ -219,9 +219,9 @@
     EXPECT_EQ(work.stale(8, now + 1s).requests, 0);
 }
 
-// Three hundred daemons that were all told the same a second ago, and whose requests take a tenth of that: the target that was
-// least busy then must not get what all of them send.
-TEST(PromptHomeRouting, DaemonsThatWereToldTheSameDoNotAllChooseTheSameTarget)
+// Guards against herding: three hundred daemons have the same reports, a second old, and their requests take a tenth of that.
+// The target that was least busy then must not receive the requests of all of them.
+TEST(PromptHomeRouting, DaemonsWithTheSameReportsDoNotAllChooseTheSameTarget)
 {
     Router router = Router::create(homeSettings()).value();
     std::vector<Candidate> candidates;
@@ -239,13 +239,13 @@
         }
         return *std::max_element(chosen.begin(), chosen.end());
     };
-    EXPECT_EQ(mostAtOne(), 300U) << "what is known now decides";
+    EXPECT_EQ(mostAtOne(), 300U) << "with current reports, the load decides";
     shape.unseenRequests = 20;
-    EXPECT_LT(mostAtOne(), 300U / 8 * 3) << "some twice an even share";
+    EXPECT_LT(mostAtOne(), 300U / 8 * 3) << "about twice an even share";
 }
 
-// Short prompts, whose shared part is soon computed anywhere, go where prompts are fewest: not all to the same target.
-TEST(PromptHomeRouting, PromptsOfDaemonsThatWereToldTheSameSpreadOut)
+// Short prompts, whose shared part is cheap to compute anywhere, go to less loaded targets, but not all to the same one.
+TEST(PromptHomeRouting, PromptsOfDaemonsWithTheSameReportsSpreadOut)
 {
     Router router = Router::create(homeSettings()).value();
     std::vector<Candidate> candidates;
@@ -265,9 +265,9 @@
     EXPECT_LT(*std::max_element(chosen.begin(), chosen.end()), 300U / 20 * 3);
 }
 
-// Each of many daemons sends a few requests a second: to eight targets its connections stay open, to all of them they do not. All
-// daemons together still use all targets evenly.
-TEST(PromptHomeRouting, ADaemonKeepsToAFewTargetsWhileWordsAreStale)
+// Many daemons each send a few requests per second: connections stay open to eight targets, but not to all of them. Together,
+// the daemons still use all targets evenly.
+TEST(PromptHomeRouting, ADaemonUsesFewTargetsWhileReportsAreStale)
 {
     Router router = Router::create(homeSettings()).value();
     std::vector<Candidate> candidates;
@@ -291,15 +291,15 @@
     }
     EXPECT_LT(*std::max_element(all.begin(), all.end()), 300U * 40 / 50 * 2);
     EXPECT_GT(*std::min_element(all.begin(), all.end()), 300U * 40 / 50 / 2);
-    // When one of its own closes, the next takes its place.
+    // When a preferred target closes, the next one replaces it.
     for (Candidate& it : candidates)
         it.closed = it.target >= 3;
     std::mt19937_64 rng(1);
     EXPECT_LT(router.decide(candidates, shape, rng).target, 3U);
 }
 
-// The sums that are kept agree with adding up what each peer last said, whatever was said, replaced and forgotten before.
-RC_GTEST_PROP(OpenWork, SumsAgreeWithWhatEachPeerLastSaid, ())
+// The incremental sums equal the sum of each peer's last report, whatever was reported, replaced and expired before.
+RC_GTEST_PROP(OpenWork, SumsMatchTheLastReportsOfPeers, ())
 {
     struct Word {
         OpenWork::Time until;
--- a/Tests/LibRouting/TestPromptSpeed.cpp
+++ b/Tests/LibRouting/TestPromptSpeed.cpp
@@ -9,7 +9,7 @@
 
 using namespace Routing;
 
-/// Prompts as they come to one daemon: shared parts are computed already, as far as is known.
+/// Generates prompts as one daemon receives them: shared parts are assumed to be cached.
 class Prompts {
 public:
     Prompts(PromptCost const& engine, std::uint32_t seed)
@@ -25,12 +25,12 @@
         prompt.newTokens = static_cast<std::uint64_t>(std::max(20.0, own(m_random)));
         prompt.allTokens = prompt.newTokens + (m_random() % 3) * 6'000;
         prompt.seconds = m_engine.seconds(prompt.newTokens, prompt.allTokens);
-        // Timers and the network: a few in a hundred.
+        // A few percent of noise from timers and the network.
         prompt.seconds *= std::normal_distribution<double>(1, 0.03)(m_random);
-        // A third waited for a prompt that the sender did not know of.
+        // A third wait for a prompt that is unknown to the sender.
         if (m_random() % 3 == 0)
             prompt.seconds += std::exponential_distribution<double>(1 / prompt.seconds)(m_random);
-        // Of some the engine did not have the shared part any more.
+        // For some, the engine has evicted the shared part.
         if (m_random() % 20 == 0)
             prompt.seconds *= 4;
         return prompt;
@@ -46,7 +46,7 @@
     double mean { 0 };
 };
 
-/// Of the estimates of prompts of nine lengths, next to what the engine takes.
+/// Returns the relative errors of the estimates for prompts of nine lengths.
 Error errorOf(PromptCost const& learnt, PromptCost const& engine)
 {
     Error error;
@@ -63,14 +63,14 @@
 PromptCost engineOf(double tokensPerSecond, double pairsShare, double setupShare)
 {
     double perToken = 1 / tokensPerSecond;
-    // Shares of what 10,000 tokens and a prompt of 1,000 cost.
+    // Relative to the per-token cost of 10,000 tokens of context, and of a prompt of 1,000 tokens.
     return { perToken, pairsShare * perToken * 100, setupShare * perToken * 1'000 };
 }
 
 }
 
-// Engines from a fiftieth to ten times of what anybody has declared so far: 150 prompts are a few seconds of traffic.
-RC_GTEST_PROP(PromptSpeed, FindsAnEnginesFiguresWithinATenthInAFewSecondsOfTraffic, (std::uint32_t seed))
+// Engine speeds from a fiftieth to ten times those configured so far; 150 prompts are a few seconds of traffic.
+RC_GTEST_PROP(PromptSpeed, LearnsAnEnginesCostWithinTenPercentInAFewSecondsOfTraffic, (std::uint32_t seed))
 {
     double tokensPerSecond = 1'000 * std::pow(1.1, *rc::gen::inRange(0, 60));
     PromptCost engine = engineOf(tokensPerSecond, *rc::gen::inRange(5, 60) / 100.0, *rc::gen::inRange(1, 50) / 100.0);
@@ -85,7 +85,7 @@
     RC_ASSERT(errorOf(speed.cost(), engine).worst < 0.25);
 }
 
-TEST(PromptSpeed, IsItsShapeBeforeTheFirstPrompt)
+TEST(PromptSpeed, EqualsItsInitialShapeBeforeTheFirstPrompt)
 {
     PromptSpeed speed;
     EXPECT_EQ(speed.cost(), PromptCost());
@@ -96,7 +96,7 @@
     EXPECT_NEAR(speed.cost().secondsPerToken, 2 * PromptCost().secondsPerToken, 1e-9) << "the first prompt sets the scale";
 }
 
-TEST(PromptSpeed, EnginesOfAnotherSpeedAreFoundAnew)
+TEST(PromptSpeed, RelearnsAfterEnginesChangeTheirSpeed)
 {
     PromptCost before = engineOf(50'000, 0.3, 0.2);
     PromptCost after = engineOf(230'000, 0.3, 0.2);
--- a/Tests/LibRouting/TestRouter.cpp
+++ b/Tests/LibRouting/TestRouter.cpp
@@ -49,7 +49,7 @@
 
 }
 
-RC_GTEST_PROP(Router, NeverChoosesAClosedOrUnfittingCandidate, ())
+RC_GTEST_PROP(Router, NeverChoosesAClosedOrUnsuitableCandidate, ())
 {
     std::vector<Candidate> candidates = drawCandidates();
     Routing::RequestShape shape;
@@ -101,7 +101,7 @@
     RC_ASSERT(load <= idle.score + affinity.settings().imbalanceSeconds + 1e-9);
 }
 
-TEST(Router, SaysWhyNoneWasChosen)
+TEST(Router, GivesTheReasonWhenNoneIsChosen)
 {
     Router router = makeRouter(Policy::LeastCorrected);
     std::mt19937_64 rng(1);
@@ -155,7 +155,7 @@
     }
 }
 
-TEST(Router, RandomIsEvenAlsoWhenMostAreClosed)
+TEST(Router, RandomIsUniformWhenMostAreClosed)
 {
     std::vector<Candidate> candidates;
     for (std::uint32_t i = 0; i < 400; ++i) {
@@ -166,12 +166,12 @@
     std::mt19937_64 rng(7);
     for (int i = 0; i < 4000; ++i)
         ++counts[makeRouter(Policy::Random).decide(candidates, {}, rng).target / 100];
-    // The standard deviation is 27: five of them.
+    // Five standard deviations of 27.
     for (int n : counts)
         EXPECT_NEAR(n, 1000, 137);
 }
 
-TEST(Router, TiesAreDrawnEvenly)
+TEST(Router, TiesAreBrokenUniformly)
 {
     std::vector<Candidate> candidates;
     for (std::uint32_t i = 0; i < 4; ++i)
--- a/Tests/LibRouting/TestSpeedBook.cpp
+++ b/Tests/LibRouting/TestSpeedBook.cpp
@@ -20,7 +20,7 @@
 
 }
 
-TEST(SpeedBook, ADaemonThatHasSeenNothingGoesByWhatItsPeersHaveLearnt)
+TEST(SpeedBook, ADaemonWithoutSamplesUsesTheEstimatesOfItsPeers)
 {
     SpeedBook known;
     learn(known, 1, 1, 100);
@@ -29,13 +29,13 @@
     EXPECT_EQ(fresh.speed("llm", now).prompts, 0U);
     fresh.takePeer("llm", "front-1", known.own("llm"), now);
     EXPECT_EQ(fresh.speed("llm", now), known.own("llm"));
-    EXPECT_EQ(fresh.own("llm").prompts, 0U) << "what peers said is not said again as its own";
-    EXPECT_EQ(fresh.speed("llm", now + 31s).prompts, 0U) << "a peer that is silent is forgotten";
+    EXPECT_EQ(fresh.own("llm").prompts, 0U) << "peers' estimates are not reported as its own";
+    EXPECT_EQ(fresh.speed("llm", now + 31s).prompts, 0U) << "estimates of a silent peer expire";
     learn(fresh, 2, 3, 40);
     EXPECT_NEAR(fresh.speed("llm", now).promptCost.seconds(1'000, 5'000), 3 * engine.seconds(1'000, 5'000), 0.2 * engine.seconds(1'000, 5'000));
 }
 
-TEST(SpeedBook, ATargetThatIsSlowerThanOthersIsKnown)
+TEST(SpeedBook, LearnsThatATargetIsSlowerThanOthers)
 {
     SpeedBook book;
     for (int n = 0; n < 60; ++n) {
@@ -48,7 +48,7 @@
     }
     EXPECT_NEAR(book.promptFactor(3) / book.promptFactor(1), 1.4, 0.15);
     EXPECT_NEAR(book.eventFactor(3) / book.eventFactor(1), 1.5, 0.15);
-    EXPECT_EQ(book.promptFactor(9), 1) << "a target that nobody has seen is like the others";
+    EXPECT_EQ(book.promptFactor(9), 1) << "an unknown target has the default factor";
     book.keepTargets(std::set<std::uint64_t> { 1, 2 });
     EXPECT_EQ(book.eventFactor(3), 1);
 }
@@ -64,7 +64,7 @@
     EXPECT_EQ(book.openSeconds("llm", TargetRole::Prefill), 0);
 }
 
-TEST(SpeedBook, ASinglePauseMovesNothingMuch)
+TEST(SpeedBook, ASinglePauseHasLittleEffect)
 {
     SpeedBook book;
     for (int n = 0; n < 100; ++n)
--- a/Tests/LibRouting/TestTargetHealth.cpp
+++ b/Tests/LibRouting/TestTargetHealth.cpp
@@ -33,7 +33,7 @@
     EXPECT_FALSE(health.isClosed(1, start + 500ms));
 }
 
-TEST(TargetHealth, AnAnswerOpensAgain)
+TEST(TargetHealth, AnAnswerReopensATarget)
 {
     TargetHealth health;
     health.note(1, TargetOutcome::Unreachable, start);
@@ -42,7 +42,7 @@
     EXPECT_TRUE(health.suspects(start + 20ms).empty());
 }
 
-TEST(TargetHealth, SingleBrokenAnswersDoNoHarm)
+TEST(TargetHealth, SingleBrokenAnswersDoNotCloseATarget)
 {
     TargetHealth health;
     for (int n = 0; n < 10; ++n) {
@@ -56,7 +56,7 @@
     EXPECT_TRUE(health.isClosed(1, start));
 }
 
-TEST(TargetHealth, ATargetThatWasReplacedStaysClosed)
+TEST(TargetHealth, AReplacedTargetStaysClosed)
 {
     TargetHealth health;
     health.note(1, TargetOutcome::Replaced, start);
@@ -67,7 +67,7 @@
     EXPECT_FALSE(health.isClosed(1, start));
 }
 
-TEST(TargetHealth, ASuspectIsNamedALittleLongerThanItIsClosed)
+TEST(TargetHealth, ATargetStaysSuspectedForAShortTimeAfterItReopens)
 {
     TargetHealth health;
     health.note(1, TargetOutcome::Unreachable, start);
--- a/Tests/LibRouting/TestTargetNotices.cpp
+++ b/Tests/LibRouting/TestTargetNotices.cpp
@@ -11,20 +11,20 @@
 
 }
 
-TEST(TargetNotices, ATargetThatLeavesStaysClosed)
+TEST(TargetNotices, ALeavingTargetStaysClosed)
 {
     TargetNotices notices;
     EXPECT_FALSE(notices.note(target, {}, origin));
     EXPECT_FALSE(notices.isClosed(target, origin));
     EXPECT_TRUE(notices.note(target, { true, {} }, origin));
-    EXPECT_FALSE(notices.note(target, { true, {} }, origin + 1s)) << "it is known";
+    EXPECT_FALSE(notices.note(target, { true, {} }, origin + 1s)) << "already recorded";
     EXPECT_TRUE(notices.isClosed(target, origin + 1h));
     EXPECT_FALSE(notices.opensAt(target, origin));
     EXPECT_FALSE(notices.isClosed(8, origin));
 }
 
-// Guards against a word that is forgotten when the store's list is away for a moment.
-TEST(TargetNotices, AWordOutlivesALapseOfTheTargetsEntry)
+// Guards against losing a notice when the store's list is briefly unavailable.
+TEST(TargetNotices, ANoticeOutlivesALapseOfTheTargetsEntry)
 {
     TargetNotices notices;
     notices.note(target, { true, {} }, origin);
@@ -33,10 +33,10 @@
     notices.keepListed({}, origin + 70s);
     EXPECT_TRUE(notices.isClosed(target, origin + 100s));
     notices.keepListed({}, origin + 131s);
-    EXPECT_FALSE(notices.isClosed(target, origin + 131s)) << "it is gone";
+    EXPECT_FALSE(notices.isClosed(target, origin + 131s)) << "unlisted for too long";
 }
 
-TEST(TargetNotices, APauseEndsAndTheLongerOneHolds)
+TEST(TargetNotices, OverlappingPausesEndWithTheLongerOne)
 {
     TargetNotices notices;
     notices.note(target, { false, 2s }, origin);
@@ -47,7 +47,7 @@
     EXPECT_FALSE(notices.opensAt(target, origin + 2s));
 }
 
-TEST(TargetNotices, NoPauseIsForEver)
+TEST(TargetNotices, LimitsThePause)
 {
     TargetNotices notices;
     notices.note(target, { false, std::chrono::milliseconds::max() / 2 }, origin);
