--- a/Libraries/LibDaemon/Dispatcher.cpp
+++ b/Libraries/LibDaemon/Dispatcher.cpp
@@ -134,7 +134,7 @@
     m_failingCandidates.clear();
     updateOutliers(now);
     bool hasOutputTarget = false;
-    Routing::StaleWork stale;
+    Routing::AgeWeightedWork stale;
     std::size_t fitTargets = 0;
     for (std::uint32_t position : request.allowed) {
         FleetTarget const& target = request.fleet->targets[position];
@@ -155,12 +155,12 @@
         candidate.promptFactor = m_speeds.promptFactor(target.key);
         candidate.eventFactor = m_speeds.eventFactor(target.key);
         if (!isClosed && Routing::takes(role->second, request.shape.phase)) {
-            stale += m_openWork.stale(target.key, now);
+            stale += m_openWork.ageWeighted(target.key, now);
             ++fitTargets;
         }
         if (isFailing)
             m_failingCandidates.push_back(m_candidates.size());
-        candidate.fetchesFarKv = !request.kvZone.empty() && request.kvZone != target.availabilityZone;
+        candidate.fetchesCrossZoneKv = !request.kvZone.empty() && request.kvZone != target.availabilityZone;
         if (target.kvCapacityTokens != 0)
             candidate.load.kvCapacityTokens = static_cast<std::uint32_t>(target.kvCapacityTokens);
         for (std::size_t n = 0; n < matched; ++n) {
@@ -202,7 +202,7 @@
 }
 
 // Requests that stay open for a tenth of the time since they were told of have been followed by ten times as many.
-double Dispatcher::unseenRequests(std::string const& service, Routing::Phase phase, Routing::StaleWork const& stale, std::size_t targets) const
+double Dispatcher::unseenRequests(std::string const& service, Routing::Phase phase, Routing::AgeWeightedWork const& stale, std::size_t targets) const
 {
     bool isPrompt = phase == Routing::Phase::WholeOrPrefill;
     Routing::TargetRole role = isPrompt ? Routing::TargetRole::Prefill : phase == Routing::Phase::Decode ? Routing::TargetRole::Decode
--- a/Libraries/LibDaemon/Dispatcher.h
+++ b/Libraries/LibDaemon/Dispatcher.h
@@ -157,7 +157,7 @@
     double outputSeconds(FleetSnapshot const&, std::string const& service, Routing::RequestShape const&, std::chrono::steady_clock::time_point now) const;
     void updateOutliers(std::chrono::steady_clock::time_point now);
     void addHome(PlacementRequest const&);
-    double unseenRequests(std::string const& service, Routing::Phase, Routing::StaleWork const&, std::size_t targets) const;
+    double unseenRequests(std::string const& service, Routing::Phase, Routing::AgeWeightedWork const&, std::size_t targets) const;
     std::uint32_t limitOf(FleetTarget const&) const;
     Admission::Demand demandOf(PlacementRequest const&, std::uint64_t id);
 
--- a/Libraries/LibDaemon/DispatcherFleet.cpp
+++ b/Libraries/LibDaemon/DispatcherFleet.cpp
@@ -104,13 +104,13 @@
 std::vector<Routing::OutcomeCounts> Dispatcher::takeOutcomes()
 {
     std::lock_guard lock(m_mutex);
-    return m_outliers.takeUntold();
+    return m_outliers.takeUnreported();
 }
 
 void Dispatcher::takePeerOutcomes(std::vector<Routing::OutcomeCounts> const& outcomes)
 {
     std::lock_guard lock(m_mutex);
-    m_outliers.take(outcomes, Clock::now());
+    m_outliers.merge(outcomes, Clock::now());
 }
 
 // Called with the mutex held.
--- a/Libraries/LibDaemon/DispatcherSpeeds.cpp
+++ b/Libraries/LibDaemon/DispatcherSpeeds.cpp
@@ -95,7 +95,7 @@
 {
     std::lock_guard lock(m_mutex);
     for (Routing::ServiceReport const& it : reports)
-        m_speeds.takePeer(it.service, peer, it.speed, Clock::now());
+        m_speeds.setPeer(it.service, peer, it.speed, Clock::now());
 }
 
 }
--- a/Libraries/LibRouting/Candidate.h
+++ b/Libraries/LibRouting/Candidate.h
@@ -19,7 +19,7 @@
     TargetWork open; ///< Known unfinished work sent by all daemons. Used by `Policy::PromptHome`.
     bool isHome { false }; ///< Whether it is the home of the prompt's shared part, where that part should be computed.
     bool isSecondHome { false }; ///< Whether it is the second home of the prompt's shared part.
-    bool fetchesFarKv { false }; ///< Whether the prompt's KV cache would be transferred from another availability zone.
+    bool fetchesCrossZoneKv { false }; ///< Whether the prompt's KV cache would be transferred from another availability zone.
     std::uint64_t preference { 0 }; ///< This daemon's constant preference for the target; it samples the most preferred ones.
     std::uint32_t slots { 0 }; ///< Requests that it runs concurrently; 0: unknown.
     double promptFactor { 1 }; ///< Prompt time relative to other targets of its service.
--- a/Libraries/LibRouting/DemandMeter.cpp
+++ b/Libraries/LibRouting/DemandMeter.cpp
@@ -50,10 +50,10 @@
         return {};
     Sums const& sums = it->second;
     // Shortly after the start, less than a full window has been observed. A single request gives no estimate of a rate.
-    constexpr double leastSeen = 0.1;
-    double seen = std::max(leastSeen, 1 - std::exp(-windows(now - sums.since)));
+    constexpr double minObserved = 0.1;
+    double observed = std::max(minObserved, 1 - std::exp(-windows(now - sums.since)));
     double seconds = std::chrono::duration<double>(window).count();
-    return scaled(sums.work, std::exp(-windows(now - sums.at)) / (seconds * seen));
+    return scaled(sums.work, std::exp(-windows(now - sums.at)) / (seconds * observed));
 }
 
 }
--- a/Libraries/LibRouting/LoadTable.cpp
+++ b/Libraries/LibRouting/LoadTable.cpp
@@ -25,7 +25,7 @@
     return time.time_since_epoch() / std::chrono::duration_cast<Time::duration>(m_settings.interval);
 }
 
-double LoadTable::shrunk(double backlog, Time from, Time to) const
+double LoadTable::drained(double backlog, Time from, Time to) const
 {
     if (m_settings.promptTokensPerSecond <= 0 || to <= from)
         return backlog;
@@ -43,14 +43,14 @@
     std::int64_t firstKept = intervalOf(report.asOf);
     std::int64_t end = std::min(firstKept, it.firstKept + static_cast<std::int64_t>(it.intervals.size()));
     for (std::int64_t number = it.firstKept; number < end; ++number)
-        takeAway(it, number, firstKept);
+        clearInterval(it, number, firstKept);
     it.firstKept = firstKept;
     replay(it);
     return true;
 }
 
 // Clears the slot of an interval, unless a later interval that the report does not include occupies it.
-void LoadTable::takeAway(Target& target, std::int64_t number, std::int64_t firstKept)
+void LoadTable::clearInterval(Target& target, std::int64_t number, std::int64_t firstKept)
 {
     Interval& interval = target.intervals[static_cast<std::size_t>(number) % target.intervals.size()];
     if (interval.number < 0 || interval.number >= firstKept)
@@ -72,7 +72,7 @@
         if (interval.number != number)
             continue;
         Time middle = Time(width * number + width / 2);
-        backlog = shrunk(backlog, time, middle) + interval.promptTokens;
+        backlog = drained(backlog, time, middle) + interval.promptTokens;
         time = std::max(time, middle);
     }
     target.backlog = backlog;
@@ -89,28 +89,28 @@
     Interval& interval = it.intervals[static_cast<std::size_t>(number) % it.intervals.size()];
     if (interval.number > number)
         return;
-    bool isShrinking = m_settings.promptTokensPerSecond > 0;
+    bool isDraining = m_settings.promptTokensPerSecond > 0;
     if (interval.number != number) {
         it.requests -= interval.requests;
-        it.backlog -= isShrinking ? 0 : interval.promptTokens;
+        it.backlog -= isDraining ? 0 : interval.promptTokens;
         interval = Interval { number, 0, 0 };
     }
     std::int32_t requests = static_cast<std::int32_t>(counts.requestsSent) - static_cast<std::int32_t>(counts.requestsEnded);
     std::int32_t tokens = static_cast<std::int32_t>(counts.promptTokensSent);
     // A finished prompt may have been partly computed at the report's snapshot: subtracting all of it would count twice.
-    tokens -= isShrinking ? 0 : static_cast<std::int32_t>(counts.promptTokensDone);
+    tokens -= isDraining ? 0 : static_cast<std::int32_t>(counts.promptTokensDone);
     interval.requests += requests;
     interval.promptTokens += tokens;
     it.requests += requests;
-    it.backlog = shrunk(it.backlog, it.backlogTime, now) + tokens;
+    it.backlog = drained(it.backlog, it.backlogTime, now) + tokens;
     it.backlogTime = std::max(it.backlogTime, now);
-    double kept = rateKept(it, now);
-    it.promptRate = kept * it.promptRate + counts.promptsSent / m_settings.rateSeconds;
-    it.tokenRate = kept * it.tokenRate + counts.promptTokensSent / m_settings.rateSeconds;
+    double decay = rateDecay(it, now);
+    it.promptRate = decay * it.promptRate + counts.promptsSent / m_settings.rateSeconds;
+    it.tokenRate = decay * it.tokenRate + counts.promptTokensSent / m_settings.rateSeconds;
     it.rateTime = std::max(it.rateTime, now);
 }
 
-double LoadTable::rateKept(Target const& target, Time now) const
+double LoadTable::rateDecay(Target const& target, Time now) const
 {
     double seconds = std::chrono::duration<double>(now - target.rateTime).count();
     return std::exp(-std::max(0.0, seconds) / m_settings.rateSeconds);
@@ -137,10 +137,10 @@
         load.ageSeconds = std::max(0.0F, std::chrono::duration<float>(now - it.report->asOf).count());
     }
     load.requestsSince = it.requests;
-    load.promptTokensSince = static_cast<std::int32_t>(shrunk(it.backlog, it.backlogTime, now)) - static_cast<std::int32_t>(load.waitingPromptTokens);
-    float kept = static_cast<float>(rateKept(it, now));
-    load.promptsPerSecond = kept * static_cast<float>(it.promptRate);
-    load.promptTokensPerSecond = kept * static_cast<float>(it.tokenRate);
+    load.promptTokensSince = static_cast<std::int32_t>(drained(it.backlog, it.backlogTime, now)) - static_cast<std::int32_t>(load.waitingPromptTokens);
+    float decay = static_cast<float>(rateDecay(it, now));
+    load.promptsPerSecond = decay * static_cast<float>(it.promptRate);
+    load.promptTokensPerSecond = decay * static_cast<float>(it.tokenRate);
     return load;
 }
 
--- a/Libraries/LibRouting/LoadTable.h
+++ b/Libraries/LibRouting/LoadTable.h
@@ -106,10 +106,10 @@
     };
 
     std::int64_t intervalOf(Time) const;
-    double shrunk(double backlog, Time from, Time to) const;
-    static void takeAway(Target&, std::int64_t number, std::int64_t firstKept);
+    double drained(double backlog, Time from, Time to) const;
+    static void clearInterval(Target&, std::int64_t number, std::int64_t firstKept);
     void replay(Target&) const;
-    double rateKept(Target const&, Time) const;
+    double rateDecay(Target const&, Time) const;
 
     Settings m_settings;
     std::vector<Target> m_targets;
--- a/Libraries/LibRouting/OpenWork.cpp
+++ b/Libraries/LibRouting/OpenWork.cpp
@@ -34,37 +34,37 @@
     open.requests -= std::min(open.requests, work.requests);
     open.kvTokens -= std::min(open.kvTokens, work.kvTokens);
     // Rounding errors leave a small remainder above zero.
-    constexpr double nothing = 1e-6;
-    if (open.requests == 0 && open.prefillSeconds < nothing)
+    constexpr double roundingError = 1e-6;
+    if (open.requests == 0 && open.prefillSeconds < roundingError)
         m_own.erase(it);
 }
 
 void OpenWork::setPeer(std::string const& peer, std::vector<TargetShare> const& shares, Time now, std::chrono::milliseconds lifetime)
 {
     expire(now);
-    Peer& said = m_peers[peer];
-    m_expiries.erase({ said.until, peer });
-    add(said, -1);
+    Peer& report = m_peers[peer];
+    m_expiries.erase({ report.until, peer });
+    add(report, -1);
     if (m_epoch == Time())
         m_epoch = now;
-    said = { now, now + lifetime, shares };
-    add(said, 1);
-    m_expiries.emplace(said.until, peer);
+    report = { now, now + lifetime, shares };
+    add(report, 1);
+    m_expiries.emplace(report.until, peer);
 }
 
 void OpenWork::add(Peer const& peer, int sign)
 {
-    std::int64_t saidAt = sinceEpoch(peer.saidAt);
+    std::int64_t reportedAt = sinceEpoch(peer.reportedAt);
     for (TargetShare const& share : peer.shares) {
         Sum& sum = m_peerSums[share.target];
         std::int64_t prefill = sign * std::llround(share.work.prefillSeconds * microsecondsPerSecond);
         std::int64_t requests = sign * static_cast<std::int64_t>(share.work.requests);
         sum.prefillMicroseconds += prefill;
-        sum.prefillMoment += prefill * saidAt;
+        sum.prefillMoment += prefill * reportedAt;
         sum.requests += requests;
-        sum.requestMoment += requests * saidAt;
+        sum.requestMoment += requests * reportedAt;
         sum.kvTokens += sign * static_cast<std::int64_t>(share.work.kvTokens);
-        if (sum.isNothing())
+        if (sum.isZero())
             m_peerSums.erase(share.target);
     }
 }
@@ -103,7 +103,7 @@
     return sum;
 }
 
-StaleWork OpenWork::stale(std::uint64_t target, Time now)
+AgeWeightedWork OpenWork::ageWeighted(std::uint64_t target, Time now)
 {
     expire(now);
     std::unordered_map<std::uint64_t, Sum>::const_iterator peers = m_peerSums.find(target);
--- a/Libraries/LibRouting/OpenWork.h
+++ b/Libraries/LibRouting/OpenWork.h
@@ -28,11 +28,11 @@
 
 /// Work multiplied by the age of its report in seconds. Divided by the mean time that such work stays open, it estimates
 /// the work sent since the report.
-struct StaleWork {
+struct AgeWeightedWork {
     double prefillSeconds { 0 };
     double requests { 0 };
 
-    StaleWork& operator+=(StaleWork const& other)
+    AgeWeightedWork& operator+=(AgeWeightedWork const& other)
     {
         prefillSeconds += other.prefillSeconds;
         requests += other.requests;
@@ -48,7 +48,7 @@
     using Time = std::chrono::steady_clock::time_point;
 
     /// Minimum lifetime of a peer's report, however often it sends one.
-    static constexpr std::chrono::milliseconds leastLifetime { 1'000 };
+    static constexpr std::chrono::milliseconds minLifetime { 1'000 };
 
     /// Records the start and the end of work that this daemon sent.
     void begin(std::uint64_t target, TargetWork const&);
@@ -56,7 +56,7 @@
 
     /// Replaces a peer's previous report. The report expires after `lifetime`, which must exceed the interval between reports
     /// of a peer, or open work would be dropped before the next report.
-    void setPeer(std::string const& peer, std::vector<TargetShare> const&, Time now, std::chrono::milliseconds lifetime = leastLifetime);
+    void setPeer(std::string const& peer, std::vector<TargetShare> const&, Time now, std::chrono::milliseconds lifetime = minLifetime);
 
     /// Returns this daemon's own open work at targets that have some.
     std::vector<TargetShare> own() const;
@@ -66,7 +66,7 @@
 
     /// Returns the open work that peers reported at a target, multiplied by the age of their reports in seconds. Precondition:
     /// as for `total`.
-    StaleWork stale(std::uint64_t target, Time now);
+    AgeWeightedWork ageWeighted(std::uint64_t target, Time now);
 
 private:
     /// Work of peers at one target, in integers, so that additions and subtractions cancel out exactly.
@@ -77,11 +77,11 @@
         std::int64_t prefillMoment { 0 }; ///< The first two, multiplied by the report time in milliseconds since `m_epoch`.
         std::int64_t requestMoment { 0 };
 
-        bool isNothing() const { return prefillMicroseconds == 0 && requests == 0 && kvTokens == 0; }
+        bool isZero() const { return prefillMicroseconds == 0 && requests == 0 && kvTokens == 0; }
     };
 
     struct Peer {
-        Time saidAt;
+        Time reportedAt;
         Time until;
         std::vector<TargetShare> shares;
     };
--- a/Libraries/LibRouting/OutlierFinder.h
+++ b/Libraries/LibRouting/OutlierFinder.h
@@ -20,18 +20,18 @@
 /// When a target is ejected as an outlier, and for how long.
 struct OutlierSettings {
     std::chrono::milliseconds slot { 500 };
-    std::uint32_t leastBad { 5 }; ///< Healthy targets have occasional failures.
-    double leastShare { 0.4 }; ///< A target with a lower failure rate still adds capacity.
+    std::uint32_t minFailures { 5 }; ///< Healthy targets have occasional failures.
+    double minFailureShare { 0.4 }; ///< A target with a lower failure rate still adds capacity.
     /// How far its failure rate must exceed that of the others, in standard deviations of the difference (two-proportion
     /// z-test). The users' services have a base failure rate of about 14 %: with 17 requests per target and window, 3 is
     /// exceeded by chance once in five minutes, and in most windows by a target that fails half of its requests.
     double deviations { 3.0 };
     /// Duration of the first ejection, doubled each time it fails again: only real requests show whether it has recovered.
-    std::chrono::milliseconds firstHold { 1'000 };
-    std::chrono::milliseconds longestHold { 8'000 };
-    std::chrono::milliseconds forgiveAfter { 10'000 }; ///< Time without another ejection after which the doubling resets.
+    std::chrono::milliseconds initialEjection { 1'000 };
+    std::chrono::milliseconds maxEjection { 8'000 };
+    std::chrono::milliseconds resetAfter { 10'000 }; ///< Time without another ejection after which the doubling resets.
     /// Maximum share of a group that is ejected: where all targets fail, moving requests does not help.
-    double mostOfGroup { 0.5 };
+    double maxEjectedShare { 0.5 };
 };
 
 /// Detects targets that fail much more often than others that do the same work: a target that fails immediately looks idle
@@ -50,10 +50,10 @@
     void note(std::uint64_t target, bool isGood, Time now);
 
     /// Returns the outcomes that this daemon recorded since the last call, to be sent to its peers.
-    std::vector<OutcomeCounts> takeUntold();
+    std::vector<OutcomeCounts> takeUnreported();
 
     /// Adds the outcomes that a peer recorded.
-    void take(std::vector<OutcomeCounts> const&, Time now);
+    void merge(std::vector<OutcomeCounts> const&, Time now);
 
     /// Sets the groups of targets that do the same work, and removes all other targets.
     void setGroups(std::vector<std::vector<std::uint64_t>> groups);
@@ -73,21 +73,21 @@
         std::uint32_t bad { 0 };
     };
 
-    struct Known {
+    struct TargetState {
         std::array<Slot, slots> window;
-        Time outUntil;
-        std::uint32_t timesOut { 0 };
+        Time ejectedUntil;
+        std::uint32_t ejections { 0 };
     };
 
     void add(OutcomeCounts const&, Time now);
     OutcomeCounts sum(std::uint64_t target, Time now) const;
     std::int64_t slotNumber(Time now) const { return now.time_since_epoch() / m_settings.slot; }
-    void hold(Known&, Time now) const;
+    void eject(TargetState&, Time now) const;
 
     OutlierSettings m_settings;
     std::vector<std::vector<std::uint64_t>> m_groups;
-    std::unordered_map<std::uint64_t, Known> m_known;
-    std::unordered_map<std::uint64_t, OutcomeCounts> m_untold;
+    std::unordered_map<std::uint64_t, TargetState> m_targets;
+    std::unordered_map<std::uint64_t, OutcomeCounts> m_unreported;
 };
 
 }
--- a/Libraries/LibRouting/PromptSpeed.h
+++ b/Libraries/LibRouting/PromptSpeed.h
@@ -20,33 +20,33 @@
 /// outliers, for example after an update of the engines' software. Performs no I/O. Not thread-safe.
 class PromptSpeed {
 public:
-    /// `shape` gives the initial ratios of the three cost terms; its scale does not matter.
-    explicit PromptSpeed(PromptCost const& shape = {});
+    /// `prior` gives the initial ratios of the three cost terms; its scale does not matter.
+    explicit PromptSpeed(PromptCost const& prior = {});
 
     /// Adds a measured prompt. Prompts without new tokens or time are ignored.
     void add(PromptTime const&);
 
-    /// Returns the estimate; before the first prompt, the initial shape.
+    /// Returns the estimate; before the first prompt, the prior.
     PromptCost cost() const { return m_cost; }
 
     /// Returns the number of prompts that the estimate is based on.
     std::uint32_t prompts() const { return m_prompts; }
 
 private:
-    static constexpr std::size_t parts = 3; ///< Setup, new tokens, attention pairs.
-    using Vector = std::array<double, parts>;
+    static constexpr std::size_t terms = 3; ///< Setup, new tokens, attention pairs.
+    using Vector = std::array<double, terms>;
 
-    bool isFarOff(double ratio);
+    bool classifyOutlier(double ratio);
     void restart();
     void solve();
 
-    PromptCost m_shape;
+    PromptCost m_prior;
     PromptCost m_cost;
-    std::array<Vector, parts> m_sums {}; ///< Normal matrix: products of each prompt's cost terms, relative to its estimate.
+    std::array<Vector, terms> m_sums {}; ///< Normal matrix: products of each prompt's cost terms, relative to its estimate.
     Vector m_timeSums {}; ///< Right-hand side: products of those terms and the measured time.
     std::uint32_t m_prompts { 0 };
-    std::uint32_t m_farOff { 0 }; ///< Rises with each outlier and falls with each other prompt.
-    std::vector<double> m_farOffRatios; ///< Measured time over estimate, of each of those outliers.
+    std::uint32_t m_outliers { 0 }; ///< Rises with each outlier and falls with each other prompt.
+    std::vector<double> m_outlierRatios; ///< Measured time over estimate, of each of those outliers.
 };
 
 }
--- a/Libraries/LibRouting/Router.cpp
+++ b/Libraries/LibRouting/Router.cpp
@@ -1,4 +1,4 @@
-#include <LibRouting/RouterParts.h>
+#include <LibRouting/RouterInternals.h>
 #include <algorithm>
 #include <array>
 
@@ -38,14 +38,14 @@
         return Core::fail(Core::ErrorCode::BadInput, "The sample size must be between 2 and 64.");
     if (settings.wideSampleSize < 2 || settings.wideSampleSize > maxSampleSize)
         return Core::fail(Core::ErrorCode::BadInput, "The wide sample size must be between 2 and 64.");
-    std::array<double, 12> seconds { settings.besideTokensPerPrompt / 3600, settings.besideOverSeconds, settings.besideSecondsPerPromptToken, settings.transferSecondsPerPromptToken, settings.zonePenaltySeconds[0], settings.zonePenaltySeconds[1], settings.zonePenaltySeconds[2],
-        settings.secondsPerPromptToken, settings.secondsPerRequest, settings.fullPenaltySeconds, settings.secondsPerSlot, settings.imbalanceSeconds };
+    std::array<double, 12> seconds { settings.interferenceTokensPerPrompt / 3600, settings.interferenceOverloadSeconds, settings.interferenceSecondsPerPromptToken, settings.transferSecondsPerPromptToken, settings.zonePenaltySeconds[0], settings.zonePenaltySeconds[1], settings.zonePenaltySeconds[2],
+        settings.secondsPerPromptToken, settings.secondsPerRequest, settings.kvFullPenaltySeconds, settings.secondsPerSlot, settings.imbalanceSeconds };
     for (double n : seconds) {
         if (!(n >= 0) || n > 3600)
             return Core::fail(Core::ErrorCode::BadInput, "Penalties and rates of a router must be between 0 and 3600 seconds.");
     }
-    if (!(settings.besideTokensPerSecond > 0) || !(settings.besideWindowSeconds > 0))
-        return Core::fail(Core::ErrorCode::BadInput, "The rate and window of prompts beside running requests must be above 0.");
+    if (!(settings.interferenceTokensPerSecond > 0) || !(settings.interferenceWindowSeconds > 0))
+        return Core::fail(Core::ErrorCode::BadInput, "The rate and window of prompts that interfere with running requests must be above 0.");
     return Router(settings);
 }
 
@@ -62,16 +62,16 @@
     return (shape.promptTokens - cached) * m_settings.secondsPerPromptToken;
 }
 
-double Router::besideSeconds(Candidate const& candidate, RequestShape const& shape, bool isCorrected) const
+double Router::interferenceSeconds(Candidate const& candidate, RequestShape const& shape, bool isCorrected) const
 {
     std::uint32_t tokens = shape.promptTokens - std::min(candidate.prefixMatchTokens, shape.promptTokens);
-    double seconds = tokens * m_settings.besideSecondsPerPromptToken;
+    double seconds = tokens * m_settings.interferenceSecondsPerPromptToken;
     if (!isCorrected)
         return seconds;
     Load const& load = candidate.load;
-    double rate = load.promptTokensPerSecond + load.promptsPerSecond * m_settings.besideTokensPerPrompt
-        + (tokens + m_settings.besideTokensPerPrompt) / m_settings.besideWindowSeconds;
-    return seconds + std::max(0.0, rate / m_settings.besideTokensPerSecond - 1) * m_settings.besideOverSeconds;
+    double rate = load.promptTokensPerSecond + load.promptsPerSecond * m_settings.interferenceTokensPerPrompt
+        + (tokens + m_settings.interferenceTokensPerPrompt) / m_settings.interferenceWindowSeconds;
+    return seconds + std::max(0.0, rate / m_settings.interferenceTokensPerSecond - 1) * m_settings.interferenceOverloadSeconds;
 }
 
 double Router::waitSeconds(Candidate const& candidate, RequestShape const& shape, bool isCorrected) const
@@ -89,14 +89,14 @@
     if (shape.phase != Phase::Decode)
         wait += tokens * m_settings.secondsPerPromptToken;
     if (shape.phase != Phase::Decode && candidate.role == TargetRole::Mixed && requests > 0)
-        wait += besideSeconds(candidate, shape, isCorrected);
+        wait += interferenceSeconds(candidate, shape, isCorrected);
     if (candidate.role == TargetRole::Prefill)
         wait += shape.promptTokens * m_settings.transferSecondsPerPromptToken;
     double slots = requests + shape.pendingOutputs;
     if (m_settings.maxRunning != 0 && candidate.role != TargetRole::Prefill && slots >= m_settings.maxRunning)
         wait += (slots - m_settings.maxRunning + 1) * m_settings.secondsPerSlot;
     if (load.kvCapacityTokens != 0 && kv + shape.promptTokens + shape.expectedOutputTokens > load.kvCapacityTokens)
-        wait += m_settings.fullPenaltySeconds;
+        wait += m_settings.kvFullPenaltySeconds;
     return wait;
 }
 
--- a/Libraries/LibRouting/Router.h
+++ b/Libraries/LibRouting/Router.h
@@ -37,7 +37,7 @@
     struct Best;
     struct Sample;
 
-    double besideSeconds(Candidate const&, RequestShape const&, bool isCorrected) const;
+    double interferenceSeconds(Candidate const&, RequestShape const&, bool isCorrected) const;
     double zonePenalty(Candidate const&) const;
     double prefillSeconds(Candidate const&, RequestShape const&) const;
     Decision decideRandom(std::span<Candidate const>, RequestShape const&, std::mt19937_64&) const;
--- a/Libraries/LibRouting/RouterHome.cpp
+++ b/Libraries/LibRouting/RouterHome.cpp
@@ -1,6 +1,6 @@
 // Implements Policy::PromptHome for Router.
 
-#include <LibRouting/RouterParts.h>
+#include <LibRouting/RouterInternals.h>
 #include <algorithm>
 
 namespace Routing {
@@ -10,21 +10,21 @@
 {
     double outputs = candidate.open.requests * m_settings.decodeSeconds * candidate.eventFactor;
     std::uint64_t kv = candidate.open.kvTokens + shape.promptTokens + shape.expectedOutputTokens;
-    bool isCrowded = candidate.slots != 0 && candidate.open.requests >= candidate.slots;
-    bool isFull = candidate.load.kvCapacityTokens != 0 && kv > candidate.load.kvCapacityTokens;
-    double wait = outputs + candidate.open.prefillSeconds + (isFull ? m_settings.fullPenaltySeconds : 0);
-    if (isCrowded)
+    bool hasNoFreeSlot = candidate.slots != 0 && candidate.open.requests >= candidate.slots;
+    bool isKvFull = candidate.load.kvCapacityTokens != 0 && kv > candidate.load.kvCapacityTokens;
+    double wait = outputs + candidate.open.prefillSeconds + (isKvFull ? m_settings.kvFullPenaltySeconds : 0);
+    if (hasNoFreeSlot)
         wait += (candidate.open.requests - candidate.slots + 1) * m_settings.secondsPerSlot;
     if (shape.phase == Phase::Decode || shape.phase == Phase::Whole)
-        return wait + shape.outputSeconds * (candidate.eventFactor - 1) * m_settings.slowOutputWeight + (candidate.fetchesFarKv ? m_settings.farKvSeconds : 0);
+        return wait + shape.outputSeconds * (candidate.eventFactor - 1) * m_settings.slowOutputWeight + (candidate.fetchesCrossZoneKv ? m_settings.crossZoneKvSeconds : 0);
     std::uint32_t shared = std::min(shape.sharedTokens, shape.promptTokens);
     std::uint32_t cached = std::min(candidate.prefixMatchTokens, shape.promptTokens);
     double seconds = shape.promptCost.seconds(shape.promptTokens - cached, shape.promptTokens) * candidate.promptFactor;
     if (candidate.role != TargetRole::Prefill)
-        return wait + seconds * m_settings.besideFactor;
+        return wait + seconds * m_settings.interferenceFactor;
     // The extra cost of computing the shared part; the rest has to be computed at any target.
-    double stray = candidate.isHome || cached >= shared ? 0 : seconds - shape.promptCost.seconds(shape.promptTokens - shared, shape.promptTokens) * candidate.promptFactor;
-    return wait + seconds + stray * (candidate.isSecondHome ? m_settings.secondHomeWeight : m_settings.strayWeight);
+    double sharedCost = candidate.isHome || cached >= shared ? 0 : seconds - shape.promptCost.seconds(shape.promptTokens - shared, shape.promptTokens) * candidate.promptFactor;
+    return wait + seconds + sharedCost * (candidate.isSecondHome ? m_settings.secondHomeWeight : m_settings.nonHomeWeight);
 }
 
 // All daemons choose by the same stale reports: if each compares d random targets of n, the one that looks best to all
@@ -33,7 +33,7 @@
 {
     if (shape.unseenRequests <= 0)
         return candidates;
-    double drawn = std::max(static_cast<double>(m_settings.sampleSize), m_settings.mostUnseenAtBest / shape.unseenRequests);
+    double drawn = std::max(static_cast<double>(m_settings.sampleSize), m_settings.maxUnseenAtBest / shape.unseenRequests);
     return drawn > static_cast<double>(maxSampleSize) ? candidates : std::min(candidates, static_cast<std::size_t>(drawn));
 }
 
@@ -44,7 +44,7 @@
     bool isSampled = compared < candidates.size();
     Sample sample;
     if (isSampled)
-        sample = Sample::drawOwn(candidates, shape.phase, compared, m_settings.ownTargets, rng);
+        sample = Sample::drawPreferred(candidates, shape.phase, compared, m_settings.preferredTargets, rng);
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         // The targets that hold a shared part, or are its home, differ between prompts, so comparing them causes no herding.
         bool isCompared = !isSampled || candidates[i].isHome || candidates[i].isSecondHome || candidates[i].prefixMatchTokens > 0 || sample.contains(i);
--- a/Libraries/LibRouting/RouterParts.h
+++ b/Libraries/LibRouting/RouterInternals.h
@@ -80,19 +80,19 @@
     }
 
     // Samples from this daemon's most preferred open candidates.
-    static Sample drawOwn(std::span<Candidate const> candidates, Phase phase, std::size_t wanted, std::size_t own, std::mt19937_64& rng)
+    static Sample drawPreferred(std::span<Candidate const> candidates, Phase phase, std::size_t wanted, std::size_t preferred, std::mt19937_64& rng)
     {
         Sample sample;
-        own = std::clamp(own, wanted, maxSampleSize);
+        preferred = std::clamp(preferred, wanted, maxSampleSize);
         std::function<bool(std::size_t, std::size_t)> isPreferred = [&](std::size_t a, std::size_t b) { return candidates[a].preference > candidates[b].preference; };
         for (std::size_t i = 0; i < candidates.size(); ++i) {
             if (!isOpen(candidates[i], phase))
                 continue;
             // A heap whose front is the least preferred of those selected so far.
             auto begin = sample.positions.begin();
-            if (sample.size == own && !isPreferred(i, sample.positions[0]))
+            if (sample.size == preferred && !isPreferred(i, sample.positions[0]))
                 continue;
-            if (sample.size == own)
+            if (sample.size == preferred)
                 std::pop_heap(begin, begin + static_cast<std::ptrdiff_t>(sample.size--), isPreferred);
             sample.positions[sample.size++] = i;
             std::push_heap(begin, begin + static_cast<std::ptrdiff_t>(sample.size), isPreferred);
--- a/Libraries/LibRouting/SpeedBook.h
+++ b/Libraries/LibRouting/SpeedBook.h
@@ -50,7 +50,7 @@
     ServiceSpeed own(std::string const& service) const;
 
     /// Replaces the previous estimate of a peer.
-    void takePeer(std::string const& service, std::string const& peer, ServiceSpeed const&, Time now);
+    void setPeer(std::string const& service, std::string const& peer, ServiceSpeed const&, Time now);
 
     /// Removes targets that are not in `keys`.
     template <typename Keys>
@@ -60,7 +60,7 @@
     }
 
     /// From this many own prompts on, peers' estimates are ignored: the own estimate is then within about 10 %.
-    static constexpr std::uint32_t enoughPrompts = 30;
+    static constexpr std::uint32_t minOwnPrompts = 30;
 
 private:
     struct TargetSpeed {
@@ -68,7 +68,7 @@
         double eventFactor { 1 };
     };
 
-    struct Said {
+    struct PeerEstimate {
         ServiceSpeed speed;
         Time at;
     };
@@ -77,7 +77,7 @@
         PromptSpeed prompts;
         double eventSeconds { 0 };
         std::array<double, targetRoleNames.size()> openSeconds {}; ///< By role.
-        std::map<std::string, Said> peers;
+        std::map<std::string, PeerEstimate> peers;
     };
 
     std::map<std::string, Service> m_services;
--- a/Libraries/LibRouting/TargetHealth.cpp
+++ b/Libraries/LibRouting/TargetHealth.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-constexpr std::uint32_t mostDoublings = 8;
+constexpr std::uint32_t maxDoublings = 8;
 
 }
 
@@ -13,36 +13,36 @@
 {
     bool isReachable = outcome == TargetOutcome::Answered || outcome == TargetOutcome::Failed || outcome == TargetOutcome::Refused;
     if (isReachable) {
-        std::unordered_map<std::uint64_t, Failing>::iterator it = m_failing.find(target);
-        if (it != m_failing.end() && !it->second.isReplaced)
-            m_failing.erase(it);
+        std::unordered_map<std::uint64_t, FailureState>::iterator it = m_failures.find(target);
+        if (it != m_failures.end() && !it->second.isReplaced)
+            m_failures.erase(it);
         return;
     }
-    Failing& failing = m_failing[target];
+    FailureState& state = m_failures[target];
     if (outcome == TargetOutcome::Replaced)
-        failing.isReplaced = true;
-    if (outcome == TargetOutcome::Broken && ++failing.brokenInARow < m_settings.brokenInARow)
+        state.isReplaced = true;
+    if (outcome == TargetOutcome::Broken && ++state.consecutiveBroken < m_settings.consecutiveBroken)
         return;
     // Concurrent requests fail together; count them once.
-    if (now < failing.closedUntil)
+    if (now < state.closedUntil)
         return;
-    std::chrono::milliseconds closing = m_settings.firstClosing * (1U << std::min(failing.failures, mostDoublings));
-    failing.closedUntil = now + std::min(closing, m_settings.longestClosing);
-    ++failing.failures;
+    std::chrono::milliseconds backoff = m_settings.initialBackoff * (1U << std::min(state.failures, maxDoublings));
+    state.closedUntil = now + std::min(backoff, m_settings.maxBackoff);
+    ++state.failures;
 }
 
 bool TargetHealth::isClosed(std::uint64_t target, Time now) const
 {
-    std::unordered_map<std::uint64_t, Failing>::const_iterator it = m_failing.find(target);
-    return it != m_failing.end() && (it->second.isReplaced || now < it->second.closedUntil);
+    std::unordered_map<std::uint64_t, FailureState>::const_iterator it = m_failures.find(target);
+    return it != m_failures.end() && (it->second.isReplaced || now < it->second.closedUntil);
 }
 
 std::vector<std::uint64_t> TargetHealth::suspects(Time now) const
 {
     std::vector<std::uint64_t> targets;
-    for (std::pair<std::uint64_t const, Failing> const& it : m_failing) {
+    for (std::pair<std::uint64_t const, FailureState> const& it : m_failures) {
         // A target stays suspected for a short time after it reopens, unless a send to it succeeds.
-        bool isRecent = it.second.failures > 0 && now < it.second.closedUntil + m_settings.firstClosing;
+        bool isRecent = it.second.failures > 0 && now < it.second.closedUntil + m_settings.initialBackoff;
         if (isRecent || it.second.isReplaced)
             targets.push_back(it.first);
     }
--- a/Libraries/LibRouting/TargetHealth.h
+++ b/Libraries/LibRouting/TargetHealth.h
@@ -31,10 +31,10 @@
 struct TargetHealthSettings {
     /// Backoff after a failed connection, doubled by each further one. A restarted target comes back under another name,
     /// so retries only find out whether the network path has recovered.
-    std::chrono::milliseconds firstClosing { 500 };
-    std::chrono::milliseconds longestClosing { 4'000 };
+    std::chrono::milliseconds initialBackoff { 500 };
+    std::chrono::milliseconds maxBackoff { 4'000 };
     /// This many consecutive broken answers count as a failed connection: healthy targets have occasional ones.
-    std::uint32_t brokenInARow { 3 };
+    std::uint32_t consecutiveBroken { 3 };
 };
 
 /// Tracks which targets this daemon temporarily avoids, by the outcomes of its own sends. The platform's list drops a
@@ -58,18 +58,18 @@
     std::vector<std::uint64_t> suspects(Time now) const;
 
     /// Removes a target that is no longer listed.
-    void forget(std::uint64_t target) { m_failing.erase(target); }
+    void forget(std::uint64_t target) { m_failures.erase(target); }
 
 private:
-    struct Failing {
+    struct FailureState {
         std::uint32_t failures { 0 };
-        std::uint32_t brokenInARow { 0 };
+        std::uint32_t consecutiveBroken { 0 };
         bool isReplaced { false };
         Time closedUntil;
     };
 
     TargetHealthSettings m_settings;
-    std::unordered_map<std::uint64_t, Failing> m_failing;
+    std::unordered_map<std::uint64_t, FailureState> m_failures;
 };
 
 }
--- a/Libraries/LibRouting/TargetNotices.h
+++ b/Libraries/LibRouting/TargetNotices.h
@@ -36,13 +36,13 @@
     void keepListed(std::set<std::uint64_t> const& listed, Time now);
 
 private:
-    struct Said {
+    struct TargetState {
         bool isLeaving { false };
         Time pausedUntil;
         std::optional<Time> unlistedSince;
     };
 
-    std::map<std::uint64_t, Said> m_said;
+    std::map<std::uint64_t, TargetState> m_targets;
 };
 
 }
--- a/Libraries/LibSettings/DaemonSettings.cpp
+++ b/Libraries/LibSettings/DaemonSettings.cpp
@@ -226,9 +226,9 @@
     keys.push_back(numberKey<Owned>("callers", "unacknowledged_ms", "As for [targets].", 0, maximumMilliseconds, callerLivenessOf, &Http::SocketLiveness::unacknowledged));
     keys.push_back(numberKey<Owned>("callers", "probe_s", "As for [targets].", 0, 3600, callerLivenessOf, &Http::SocketLiveness::probeAfter));
     keys.push_back(choiceKey("routing", "policy", "How a target is chosen among the allowed ones.", Routing::policyNames, routingOf, &Routing::Settings::policy));
-    keys.push_back(fractionKey("routing", "stray_weight", "How much more the cost of a shared part counts where it is not at home (policy prompt-home).", 0, 100, routingOf, &Routing::Settings::strayWeight));
+    keys.push_back(fractionKey("routing", "stray_weight", "How much more the cost of a shared part counts where it is not at home (policy prompt-home).", 0, 100, routingOf, &Routing::Settings::nonHomeWeight));
     keys.push_back(fractionKey("routing", "second_home_weight", "The same at its second home.", 0, 100, routingOf, &Routing::Settings::secondHomeWeight));
-    keys.push_back(fractionKey("routing", "far_kv_s", "Extra wait accepted to fetch a prompt's KV cache within the availability zone.", 0, 60, routingOf, &Routing::Settings::farKvSeconds));
+    keys.push_back(fractionKey("routing", "far_kv_s", "Extra wait accepted to fetch a prompt's KV cache within the availability zone.", 0, 60, routingOf, &Routing::Settings::crossZoneKvSeconds));
     keys.push_back(fractionKey("roles", "decode_share", "The part of the engines that decodes until the demand is known (kind keyed-store).", 0.01, 0.99, splitOf, &Roles::SplitSettings::decodeShare));
     keys.push_back(numberKey<Owned>("roles", "least_decode", "Engines that decode at least.", 1, 1'000, splitOf, &Roles::SplitSettings::leastDecode));
     keys.push_back(numberKey<Owned>("roles", "patience_ms", "How long a side is short before an engine changes its role.", 0, maximumMilliseconds, splitOf, &Roles::SplitSettings::patience));
--- a/Tests/LibRouting/TestOutlierFinder.cpp
+++ b/Tests/LibRouting/TestOutlierFinder.cpp
@@ -11,7 +11,7 @@
 constexpr Time start { 100s };
 
 // Records `n` requests at a target, the first `bad` of which fail.
-void end(OutlierFinder& finder, std::uint64_t target, int n, int bad, Time now = start)
+void noteRequests(OutlierFinder& finder, std::uint64_t target, int n, int bad, Time now = start)
 {
     for (int k = 0; k < n; ++k)
         finder.note(target, k >= bad, now);
@@ -23,9 +23,9 @@
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2, 3 } });
-    end(finder, 1, 6, 5);
-    end(finder, 2, 6, 0);
-    end(finder, 3, 6, 1);
+    noteRequests(finder, 1, 6, 5);
+    noteRequests(finder, 2, 6, 0);
+    noteRequests(finder, 3, 6, 1);
     std::vector<OutcomeCounts> found = finder.update(start);
     ASSERT_EQ(found.size(), 1U);
     EXPECT_EQ(found[0].target, 1U);
@@ -39,13 +39,13 @@
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2 } });
-    end(finder, 2, 30, 0);
-    end(finder, 1, 6, 6);
+    noteRequests(finder, 2, 30, 0);
+    noteRequests(finder, 1, 6, 6);
     finder.update(start);
-    end(finder, 1, 6, 6, start + 1s);
+    noteRequests(finder, 1, 6, 6, start + 1s);
     EXPECT_EQ(finder.update(start + 1s).size(), 1U);
     EXPECT_TRUE(finder.isOutlier(1, start + 2'900ms));
-    end(finder, 1, 6, 6, start + 20s);
+    noteRequests(finder, 1, 6, 6, start + 20s);
     finder.update(start + 20s);
     EXPECT_FALSE(finder.isOutlier(1, start + 21s));
 }
@@ -55,7 +55,7 @@
     OutlierFinder finder;
     finder.setGroups({ { 1, 2, 3, 4 } });
     for (std::uint64_t target : { 1, 2, 3, 4 })
-        end(finder, target, 12, 8);
+        noteRequests(finder, target, 12, 8);
     EXPECT_TRUE(finder.update(start).empty());
 }
 
@@ -63,9 +63,9 @@
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2, 3, 4, 5 }, { 6 } });
-    end(finder, 5, 400, 0);
+    noteRequests(finder, 5, 400, 0);
     for (std::uint64_t target : { 1, 2, 3, 4, 6 })
-        end(finder, target, 10, 10);
+        noteRequests(finder, target, 10, 10);
     EXPECT_EQ(finder.update(start).size(), 2U);
     EXPECT_FALSE(finder.isOutlier(6, start));
 }
@@ -80,8 +80,8 @@
         peer.note(1, false, start);
         peer.note(2, true, start);
         peer.note(3, true, start);
-        finder.take(peer.takeUntold(), start);
-        EXPECT_TRUE(peer.takeUntold().empty());
+        finder.merge(peer.takeUnreported(), start);
+        EXPECT_TRUE(peer.takeUnreported().empty());
     }
     EXPECT_EQ(finder.update(start).size(), 1U);
 }
@@ -90,9 +90,9 @@
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2 } });
-    end(finder, 2, 30, 0);
-    end(finder, 1, 3, 3);
-    end(finder, 1, 3, 3, start + 6s);
+    noteRequests(finder, 2, 30, 0);
+    noteRequests(finder, 1, 3, 3);
+    noteRequests(finder, 1, 3, 3, start + 6s);
     EXPECT_TRUE(finder.update(start + 6s).empty());
 }
 
--- a/Tests/LibRouting/TestPromptHomes.cpp
+++ b/Tests/LibRouting/TestPromptHomes.cpp
@@ -133,7 +133,7 @@
     RequestShape shape = history();
     shape.phase = Phase::Decode;
     EXPECT_EQ(decide(candidates, shape).target, 1U);
-    candidates[1].fetchesFarKv = true;
+    candidates[1].fetchesCrossZoneKv = true;
     EXPECT_EQ(decide(candidates, shape).target, 0U);
     candidates[0].open.requests = 60;
     EXPECT_EQ(decide(candidates, shape).target, 1U);
@@ -212,11 +212,11 @@
     OpenWork work;
     work.setPeer("b", { { 7, { 0.5, 2, 0 } } }, now, 5s);
     work.setPeer("c", { { 7, { 0.25, 3, 0 } } }, now + 400ms, 5s);
-    EXPECT_NEAR(work.stale(7, now + 1s).requests, 2 * 1.0 + 3 * 0.6, 1e-9);
-    EXPECT_NEAR(work.stale(7, now + 1s).prefillSeconds, 0.5 * 1.0 + 0.25 * 0.6, 1e-9);
+    EXPECT_NEAR(work.ageWeighted(7, now + 1s).requests, 2 * 1.0 + 3 * 0.6, 1e-9);
+    EXPECT_NEAR(work.ageWeighted(7, now + 1s).prefillSeconds, 0.5 * 1.0 + 0.25 * 0.6, 1e-9);
     work.setPeer("b", {}, now + 1s, 5s);
-    EXPECT_NEAR(work.stale(7, now + 1s).requests, 3 * 0.6, 1e-9);
-    EXPECT_EQ(work.stale(8, now + 1s).requests, 0);
+    EXPECT_NEAR(work.ageWeighted(7, now + 1s).requests, 3 * 0.6, 1e-9);
+    EXPECT_EQ(work.ageWeighted(8, now + 1s).requests, 0);
 }
 
 // Guards against herding: three hundred daemons have the same reports, a second old, and their requests take a tenth of that.
@@ -231,7 +231,7 @@
     }
     RequestShape shape;
     shape.phase = Phase::Whole;
-    std::function<std::size_t()> mostAtOne = [&] {
+    std::function<std::size_t()> maxPerTarget = [&] {
         std::array<std::size_t, 8> chosen {};
         for (std::uint64_t daemon = 0; daemon < 300; ++daemon) {
             std::mt19937_64 rng(daemon);
@@ -239,9 +239,9 @@
         }
         return *std::max_element(chosen.begin(), chosen.end());
     };
-    EXPECT_EQ(mostAtOne(), 300U) << "with current reports, the load decides";
+    EXPECT_EQ(maxPerTarget(), 300U) << "with current reports, the load decides";
     shape.unseenRequests = 20;
-    EXPECT_LT(mostAtOne(), 300U / 8 * 3) << "about twice an even share";
+    EXPECT_LT(maxPerTarget(), 300U / 8 * 3) << "about twice an even share";
 }
 
 // Short prompts, whose shared part is cheap to compute anywhere, go to less loaded targets, but not all to the same one.
@@ -287,7 +287,7 @@
             used.insert(chosen);
             ++all[chosen];
         }
-        EXPECT_LE(used.size(), homeSettings().ownTargets);
+        EXPECT_LE(used.size(), homeSettings().preferredTargets);
     }
     EXPECT_LT(*std::max_element(all.begin(), all.end()), 300U * 40 / 50 * 2);
     EXPECT_GT(*std::min_element(all.begin(), all.end()), 300U * 40 / 50 / 2);
@@ -301,12 +301,12 @@
 // The incremental sums equal the sum of each peer's last report, whatever was reported, replaced and expired before.
 RC_GTEST_PROP(OpenWork, SumsMatchTheLastReportsOfPeers, ())
 {
-    struct Word {
+    struct Report {
         OpenWork::Time until;
         std::vector<TargetShare> shares;
     };
     OpenWork work;
-    std::map<std::string, Word> words;
+    std::map<std::string, Report> reports;
     OpenWork::Time now { 100s };
     int steps = *rc::gen::inRange(1, 200);
     for (int n = 0; n < steps; ++n) {
@@ -319,10 +319,10 @@
         }
         std::chrono::milliseconds lifetime(*rc::gen::inRange(100, 1'000));
         work.setPeer(peer, shares, now, lifetime);
-        words[peer] = { now + lifetime, shares };
+        reports[peer] = { now + lifetime, shares };
         for (std::uint64_t target = 1; target < 4; ++target) {
             TargetWork expected;
-            for (std::pair<std::string const, Word> const& it : words) {
+            for (std::pair<std::string const, Report> const& it : reports) {
                 for (TargetShare const& share : it.second.shares) {
                     if (share.target == target && now <= it.second.until)
                         expected += share.work;
--- a/Tests/LibRouting/TestPromptSpeed.cpp
+++ b/Tests/LibRouting/TestPromptSpeed.cpp
@@ -47,12 +47,12 @@
 };
 
 /// Returns the relative errors of the estimates for prompts of nine lengths.
-Error errorOf(PromptCost const& learnt, PromptCost const& engine)
+Error errorOf(PromptCost const& estimate, PromptCost const& engine)
 {
     Error error;
     for (std::uint64_t newTokens : { 400, 1'500, 4'000 }) {
         for (std::uint64_t before : { 0, 6'000, 12'000 }) {
-            double n = std::abs(learnt.seconds(newTokens, newTokens + before) / engine.seconds(newTokens, newTokens + before) - 1);
+            double n = std::abs(estimate.seconds(newTokens, newTokens + before) / engine.seconds(newTokens, newTokens + before) - 1);
             error.worst = std::max(error.worst, n);
             error.mean += n / 9;
         }
@@ -85,7 +85,7 @@
     RC_ASSERT(errorOf(speed.cost(), engine).worst < 0.25);
 }
 
-TEST(PromptSpeed, EqualsItsInitialShapeBeforeTheFirstPrompt)
+TEST(PromptSpeed, EqualsItsPriorBeforeTheFirstPrompt)
 {
     PromptSpeed speed;
     EXPECT_EQ(speed.cost(), PromptCost());
--- a/Tests/LibRouting/TestSpeedBook.cpp
+++ b/Tests/LibRouting/TestSpeedBook.cpp
@@ -27,7 +27,7 @@
     known.noteEventGap("llm", 1, 0.035);
     SpeedBook fresh;
     EXPECT_EQ(fresh.speed("llm", now).prompts, 0U);
-    fresh.takePeer("llm", "front-1", known.own("llm"), now);
+    fresh.setPeer("llm", "front-1", known.own("llm"), now);
     EXPECT_EQ(fresh.speed("llm", now), known.own("llm"));
     EXPECT_EQ(fresh.own("llm").prompts, 0U) << "peers' estimates are not reported as its own";
     EXPECT_EQ(fresh.speed("llm", now + 31s).prompts, 0U) << "estimates of a silent peer expire";
--- a/Utilities/currantvale-measure/Trial.cpp
+++ b/Utilities/currantvale-measure/Trial.cpp
@@ -13,9 +13,9 @@
 std::vector<std::pair<std::string, Setter>> const& setters()
 {
     static std::vector<std::pair<std::string, Setter>> const table {
-        { "routing.beside", [](Trial& it, double n) { it.routing.besideSecondsPerPromptToken = n; } },
-        { "routing.beside-rate", [](Trial& it, double n) { it.routing.besideTokensPerSecond = n; } },
-        { "routing.beside-over", [](Trial& it, double n) { it.routing.besideOverSeconds = n; } },
+        { "routing.beside", [](Trial& it, double n) { it.routing.interferenceSecondsPerPromptToken = n; } },
+        { "routing.beside-rate", [](Trial& it, double n) { it.routing.interferenceTokensPerSecond = n; } },
+        { "routing.beside-over", [](Trial& it, double n) { it.routing.interferenceOverloadSeconds = n; } },
         { "routing.imbalance", [](Trial& it, double n) { it.routing.imbalanceSeconds = n; } },
         { "routing.per-request", [](Trial& it, double n) { it.routing.secondsPerRequest = n; } },
         { "routing.per-slot", [](Trial& it, double n) { it.routing.secondsPerSlot = n; } },
