--- a/Tests/LibRouting/TestOutlierFinder.cpp
+++ b/Tests/LibRouting/TestOutlierFinder.cpp
@@ -10,8 +10,8 @@
 
 constexpr Time start { 100s };
 
-// `n` requests of a target, of which the first `bad` fail.
-void end(OutlierFinder& finder, std::uint64_t target, int n, int bad, Time now = start)
+// Records `n` requests at a target, the first `bad` of which fail.
+void noteRequests(OutlierFinder& finder, std::uint64_t target, int n, int bad, Time now = start)
 {
     for (int k = 0; k < n; ++k)
         finder.note(target, k >= bad, now);
@@ -19,13 +19,13 @@
 
 }
 
-TEST(OutlierFinder, ATargetThatFailsWhatOthersDoWellIsOneForAWhile)
+TEST(OutlierFinder, ATargetThatFailsMoreThanOthersIsEjectedTemporarily)
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2, 3 } });
-    end(finder, 1, 6, 5);
-    end(finder, 2, 6, 0);
-    end(finder, 3, 6, 1);
+    noteRequests(finder, 1, 6, 5);
+    noteRequests(finder, 2, 6, 0);
+    noteRequests(finder, 3, 6, 1);
     std::vector<OutcomeCounts> found = finder.update(start);
     ASSERT_EQ(found.size(), 1U);
     EXPECT_EQ(found[0].target, 1U);
@@ -35,27 +35,27 @@
     EXPECT_TRUE(finder.update(start + 100ms).empty());
 }
 
-TEST(OutlierFinder, OneThatFailsAgainIsOutForLongerAndIsForgivenLater)
+TEST(OutlierFinder, RepeatedFailuresLengthenTheEjectionUntilItResets)
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2 } });
-    end(finder, 2, 30, 0);
-    end(finder, 1, 6, 6);
+    noteRequests(finder, 2, 30, 0);
+    noteRequests(finder, 1, 6, 6);
     finder.update(start);
-    end(finder, 1, 6, 6, start + 1s);
+    noteRequests(finder, 1, 6, 6, start + 1s);
     EXPECT_EQ(finder.update(start + 1s).size(), 1U);
     EXPECT_TRUE(finder.isOutlier(1, start + 2'900ms));
-    end(finder, 1, 6, 6, start + 20s);
+    noteRequests(finder, 1, 6, 6, start + 20s);
     finder.update(start + 20s);
     EXPECT_FALSE(finder.isOutlier(1, start + 21s));
 }
 
-TEST(OutlierFinder, WhereAllFailNobodyIsOne)
+TEST(OutlierFinder, NoTargetIsEjectedWhereAllFail)
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2, 3, 4 } });
     for (std::uint64_t target : { 1, 2, 3, 4 })
-        end(finder, target, 12, 8);
+        noteRequests(finder, target, 12, 8);
     EXPECT_TRUE(finder.update(start).empty());
 }
 
@@ -63,15 +63,15 @@
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2, 3, 4, 5 }, { 6 } });
-    end(finder, 5, 400, 0);
+    noteRequests(finder, 5, 400, 0);
     for (std::uint64_t target : { 1, 2, 3, 4, 6 })
-        end(finder, target, 10, 10);
+        noteRequests(finder, target, 10, 10);
     EXPECT_EQ(finder.update(start).size(), 2U);
     EXPECT_FALSE(finder.isOutlier(6, start));
 }
 
-// Each of 90 daemons sends a target one request in ten seconds; together they see that it fails.
-TEST(OutlierFinder, ManyDaemonsThatEachSeeLittleKnowTogether)
+// With 90 daemons, each sends a target one request in ten seconds; only the combined counts show that it fails.
+TEST(OutlierFinder, CombinesTheCountsOfManyDaemons)
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2, 3 } });
@@ -80,24 +80,24 @@
         peer.note(1, false, start);
         peer.note(2, true, start);
         peer.note(3, true, start);
-        finder.take(peer.takeUntold(), start);
-        EXPECT_TRUE(peer.takeUntold().empty());
+        finder.merge(peer.takeUnreported(), start);
+        EXPECT_TRUE(peer.takeUnreported().empty());
     }
     EXPECT_EQ(finder.update(start).size(), 1U);
 }
 
-TEST(OutlierFinder, WhatIsLongAgoDoesNotCount)
+TEST(OutlierFinder, IgnoresOutcomesOutsideTheWindow)
 {
     OutlierFinder finder;
     finder.setGroups({ { 1, 2 } });
-    end(finder, 2, 30, 0);
-    end(finder, 1, 3, 3);
-    end(finder, 1, 3, 3, start + 6s);
+    noteRequests(finder, 2, 30, 0);
+    noteRequests(finder, 1, 3, 3);
+    noteRequests(finder, 1, 3, 3, start + 6s);
     EXPECT_TRUE(finder.update(start + 6s).empty());
 }
 
-// A service that fails 14 in 100 by itself, some 17 requests a target in a window: ten minutes of chance alone.
-TEST(OutlierFinder, ChanceAloneSeldomMakesOne)
+// A service with a base failure rate of 14 %, about 17 requests per target and window, for ten minutes.
+TEST(OutlierFinder, RandomFailuresSeldomEjectATarget)
 {
     std::mt19937_64 rng(1);
     std::bernoulli_distribution fails(0.14);
