--- a/Libraries/LibAuthority/DrainTracker.cpp
+++ b/Libraries/LibAuthority/DrainTracker.cpp
@@ -52,7 +52,7 @@
     return it != m_closed.end() && now < it->second.until;
 }
 
-std::vector<std::string> DrainTracker::missing(Time now) const
+std::vector<std::string> DrainTracker::unacknowledged(Time now) const
 {
     std::vector<std::string> names;
     for (Router const& router : m_routers) {
--- a/Libraries/LibAuthority/DrainTracker.h
+++ b/Libraries/LibAuthority/DrainTracker.h
@@ -18,31 +18,31 @@
     auto operator<=>(Router const&) const = default;
 };
 
-/// The holder's account of who has acknowledged that an engine is closed. An acknowledgement counts for
-/// `timeToLive` from before the request for it was sent, as a lease does: the daemon's own count began later.
-/// Pure and not thread-safe.
+/// Tracks, at the lease holder, which daemons have acknowledged that an engine is closed. An acknowledgement is valid for
+/// `timeToLive` from before its request was sent, as a lease is: the daemon's own timer started later and so ends later.
+/// Does no I/O and is not thread-safe.
 class DrainTracker {
 public:
-    /// Precondition: `timeToLive` is what the daemons are told.
+    /// Precondition: `timeToLive` is the value sent to the daemons.
     explicit DrainTracker(Duration timeToLive);
 
-    /// Sets who may route to the engine by now: all that are live or can't be shown to be gone.
+    /// Sets the daemons that may route to the engine: all that are live or not proven to be gone.
     void setRouters(std::vector<Router>);
 
-    /// Begins a round of requests to close or open, at `now`, before the first is sent; returns its number, which
-    /// is higher than all before it.
+    /// Starts a round of close or open requests at `now`, before the first one is sent. Returns its number, which is higher
+    /// than those of all earlier rounds.
     std::uint64_t beginRound(Time now);
 
-    /// Notes that a daemon closed the engine on the request of that round. Unknown rounds are ignored.
+    /// Records that a daemon closed the engine in response to that round. Unknown rounds are ignored.
     void acknowledge(Router const&, std::uint64_t round, Time now);
 
-    /// Forgets all acknowledgements, as when the engine is opened.
+    /// Discards all rounds and acknowledgements, as when the engine is reopened.
     void reset();
 
-    /// Returns the daemons, sorted, that may still route to the engine as far as is known.
-    std::vector<std::string> missing(Time now) const;
+    /// Returns the names, sorted, of the daemons without a valid acknowledgement: they may still route to the engine.
+    std::vector<std::string> unacknowledged(Time now) const;
 
-    /// Returns when the last of the acknowledgements that count came; nothing while some are missing.
+    /// Returns when the last daemon was first known to be closed, or nothing while any acknowledgement is missing.
     std::optional<Time> closedSince(Time now) const;
 
 private:
--- a/Libraries/LibAuthority/EngineOrders.cpp
+++ b/Libraries/LibAuthority/EngineOrders.cpp
@@ -29,7 +29,7 @@
 
 void EngineOrders::loseAuthority()
 {
-    // The daemons open the engine by themselves when the holder no longer repeats its closing.
+    // The daemons reopen the engine on their own when the close expires without being repeated.
     m_drain.reset();
     m_hasToken = false;
     m_isOpenDue = false;
@@ -51,9 +51,9 @@
         m_block = Block { BlockReason::FormerHolder, m_unsettled };
 }
 
-void EngineOrders::setWish(EngineWish const& wish)
+void EngineOrders::setDesiredState(DesiredEngineState const& desired)
 {
-    m_wish = wish;
+    m_desired = desired;
 }
 
 void EngineOrders::setRouters(std::vector<Router> routers)
@@ -75,7 +75,7 @@
         m_block.reset();
 }
 
-void EngineOrders::refuse()
+void EngineOrders::markRefused()
 {
     loseAuthority();
     m_isRefused = true;
@@ -89,7 +89,7 @@
         return;
     bool isRestarted = m_checksFencing && state.fencing < m_fencing;
     if (m_checksFencing && state.fencing > m_fencing) {
-        refuse();
+        markRefused();
         return;
     }
     m_state = state;
@@ -107,8 +107,8 @@
     }
 }
 
-/// An engine that doesn't check may hold an order of a former holder in its buffers: it was sent in time,
-/// and takes effect when the engine gets to it. Two equal reads some time apart show that none is left.
+/// An engine that doesn't check fencing tokens may have an order of a former holder in its buffers, which was sent in time
+/// and takes effect when the engine processes it. Two equal reads some time apart show that none is left.
 void EngineOrders::observeReading(EngineState const& state)
 {
     bool isStable = m_firstRead && haveSameSettings(*m_firstRead, state) && m_firstRead->incarnation == state.incarnation
@@ -125,20 +125,20 @@
 {
     if (state.phase != EnginePhase::Serving)
         return;
-    if (isMet(m_ordered, state)) {
-        abandonChange();
+    if (isSatisfied(m_orderedState, state)) {
+        endChange();
         return;
     }
-    // It serves without the change: the order got lost, or the engine crashed half-way.
+    // The engine serves without the change: the order was lost, or the engine crashed during the change.
     if (state.incarnation != m_orderedIncarnation)
         m_hasToken = false;
     bool mayArrive = m_pending.has_value();
-    if (!mayArrive && m_wish != m_ordered) {
-        abandonChange();
+    if (!mayArrive && m_desired != m_orderedState) {
+        endChange();
         return;
     }
     if (m_checksFencing && state.fencing < m_fencing) {
-        abandonChange();
+        endChange();
         enter(OrderPhase::Raising);
         return;
     }
@@ -146,8 +146,8 @@
         enter(OrderPhase::Ordering);
 }
 
-/// An unknown write is done with when the engine shows its effect, has restarted since, or has twice shown
-/// the same state without it: the connection was closed before that.
+/// A write with an unknown outcome is resolved when the engine has restarted since, or when two reads some time apart show
+/// the same state of a serving engine, with or without its effect: the connection was closed before them.
 void EngineOrders::resolvePending(EngineState const& state)
 {
     if (!m_pending || !m_pending->isUnknown || state.readAt < m_pending->unknownSince)
@@ -165,18 +165,18 @@
 void EngineOrders::observeUnreachable(Time now)
 {
     if (m_phase == OrderPhase::Closing)
-        putOff(now, BlockReason::EngineUnreachable, {});
+        postponeChange(now, BlockReason::EngineUnreachable, {});
     else if (m_phase == OrderPhase::Raising || m_phase == OrderPhase::Reading || m_phase == OrderPhase::Settled || m_phase == OrderPhase::Verifying)
         m_block = Block { BlockReason::EngineUnreachable, {} };
 }
 
-void EngineOrders::answerOrder(std::string const& orderId, OrderAnswer answer, Time now)
+void EngineOrders::recordOrderOutcome(std::string const& orderId, OrderOutcome outcome, Time now)
 {
     if (!m_pending || m_pending->orderId != orderId)
         return;
-    // A definite answer to this try says nothing of an earlier one that may still be on its way. Raising the
-    // number twice does no harm.
-    bool mayArriveLater = answer == OrderAnswer::Unknown || (m_pending->hadUnknownTry && m_phase != OrderPhase::Raising);
+    // A definite response to this attempt says nothing about an earlier one that may still be in flight. Raising the
+    // fencing token twice is harmless.
+    bool mayArriveLater = outcome == OrderOutcome::Unknown || (m_pending->hadUnknownAttempt && m_phase != OrderPhase::Raising);
     if (mayArriveLater) {
         m_pending->isUnknown = true;
         m_pending->unknownSince = now;
@@ -187,15 +187,15 @@
     bool isCurrent = m_phase == OrderPhase::Raising || m_phase == OrderPhase::Ordering;
     if (!isCurrent)
         return;
-    if (answer == OrderAnswer::HigherNumber) {
-        refuse();
+    if (outcome == OrderOutcome::StaleFencing) {
+        markRefused();
     } else if (m_phase == OrderPhase::Raising) {
-        if (answer == OrderAnswer::Accepted)
+        if (outcome == OrderOutcome::Accepted)
             enter(OrderPhase::Reading);
         else
-            m_block = Block { answer == OrderAnswer::Refused ? BlockReason::RefusedByEngine : BlockReason::EngineUnreachable, {} };
-    } else if (answer == OrderAnswer::Refused) {
-        putOff(now, BlockReason::RefusedByEngine, {});
+            m_block = Block { outcome == OrderOutcome::Refused ? BlockReason::RefusedByEngine : BlockReason::EngineUnreachable, {} };
+    } else if (outcome == OrderOutcome::Refused) {
+        postponeChange(now, BlockReason::RefusedByEngine, {});
     } else {
         enter(OrderPhase::Verifying);
     }
@@ -203,7 +203,7 @@
 
 void EngineOrders::startChange(Time now, bool hasToken)
 {
-    m_ordered = m_wish;
+    m_orderedState = m_desired;
     m_hasToken = hasToken;
     m_closingSince = now;
     m_lastClose.reset();
@@ -212,8 +212,8 @@
     enter(OrderPhase::Closing);
 }
 
-/// Ends the change under way, met or not, and opens the engine.
-void EngineOrders::abandonChange()
+/// Ends the change in progress, whether completed or not, and reopens the engine.
+void EngineOrders::endChange()
 {
     m_drain.reset();
     m_hasToken = false;
@@ -222,9 +222,9 @@
     enter(OrderPhase::Settled);
 }
 
-void EngineOrders::putOff(Time now, BlockReason reason, std::vector<std::string> names)
+void EngineOrders::postponeChange(Time now, BlockReason reason, std::vector<std::string> names)
 {
-    abandonChange();
+    endChange();
     m_block = Block { reason, std::move(names) };
     m_notBefore = now + m_settings.backoff;
 }
--- a/Libraries/LibAuthority/EngineOrders.h
+++ b/Libraries/LibAuthority/EngineOrders.h
@@ -13,27 +13,27 @@
 
 namespace Authority {
 
-/// Intervals of the order state machine.
+/// Intervals and timeouts of the order state machine.
 struct OrderSettings {
-    Duration retryInterval { std::chrono::seconds(1) }; ///< Between two tries of the same step.
-    Duration readInterval { std::chrono::seconds(5) }; ///< Between reads of an engine that is as wanted.
-    Duration settleDelay { std::chrono::seconds(2) }; ///< Between the two equal reads of an engine that doesn't check.
-    Duration closeTimeToLive { std::chrono::seconds(15) }; ///< How long a daemon keeps an engine closed.
-    Duration closeTimeout { std::chrono::seconds(5) }; ///< After it, an engine that some daemon has not closed is opened again.
-    Duration drainTimeout { std::chrono::seconds(600) }; ///< After it, an engine whose requests have not ended is opened again.
-    Duration backoff { std::chrono::seconds(30) }; ///< Until the next try after either.
+    Duration retryInterval { std::chrono::seconds(1) }; ///< Between two attempts of the same step.
+    Duration readInterval { std::chrono::seconds(5) }; ///< Between reads of an engine that is in its desired state.
+    Duration settleDelay { std::chrono::seconds(2) }; ///< Between the two equal reads of an engine without fencing checks.
+    Duration closeTimeToLive { std::chrono::seconds(15) }; ///< How long a close stays in force at a daemon.
+    Duration closeTimeout { std::chrono::seconds(5) }; ///< Reopens an engine that some daemon has not closed by then.
+    Duration drainTimeout { std::chrono::seconds(600) }; ///< Reopens an engine that still runs requests by then.
+    Duration backoff { std::chrono::seconds(30) }; ///< Delay of the next change after one that failed.
 };
 
-/// Where the holder of a lease is with one engine.
+/// The state of a lease holder's orders to one engine.
 enum class OrderPhase : std::uint8_t {
-    NoAuthority, ///< It does not hold the lease, or an engine refused its number.
-    AwaitingEvidence, ///< The engine doesn't check, and a former holder may still order.
-    Raising, ///< The number is being raised at the engine.
+    NoAuthority, ///< It does not hold the lease, or the engine rejected its fencing token.
+    AwaitingEvidence, ///< The engine doesn't check fencing tokens, and a former holder may still send orders.
+    Raising, ///< The engine's fencing token is being raised.
     Reading, ///< The engine's state is being read.
-    Settled, ///< The state is known; nothing is under way.
-    Closing, ///< Daemons close the engine and its requests end.
-    Ordering, ///< The order is to be written.
-    Verifying, ///< The order was written; the state is read back.
+    Settled, ///< The state is known and no change is in progress.
+    Closing, ///< Daemons close the engine, and its running requests are drained.
+    Ordering, ///< The order is due to be written.
+    Verifying, ///< The order was written, and the state is being read back.
 };
 
 inline constexpr Core::EnumNames<OrderPhase, 8> orderPhaseNames { {
@@ -47,16 +47,16 @@
     { OrderPhase::Verifying, "verifying" },
 } };
 
-/// Why nothing is ordered although something is wanted.
+/// Why no order is sent although the engine is not in its desired state.
 enum class BlockReason : std::uint8_t {
     LeaseLapsed, ///< The lease could not be renewed in time, as in a log outage.
-    FormerHolder, ///< A former holder may still order; `names` has them.
+    FormerHolder, ///< Former holders may still send orders; `names` lists them.
     EngineUnreachable,
-    RoutersUnreachable, ///< Daemons that may route there have not closed it; `names` has them.
+    RoutersUnreachable, ///< Daemons that may route to the engine have not closed it; `names` lists them.
     RequestsRunning,
     WeightBudget,
-    ChangeBudget, ///< Enough engines are changing at once.
-    RefusedByEngine, ///< It refused an order for another reason than its number.
+    ChangeBudget, ///< The maximum number of engines is already changing.
+    RefusedByEngine, ///< It rejected an order for a reason other than its fencing token.
 };
 
 inline constexpr Core::EnumNames<BlockReason, 8> blockReasonNames { {
@@ -70,7 +70,7 @@
     { BlockReason::RefusedByEngine, "refused-by-engine" },
 } };
 
-/// What stands in the way, for operators.
+/// The reason why a change is blocked, as reported to operators.
 struct Block {
     BlockReason reason { BlockReason::LeaseLapsed };
     std::vector<std::string> names; ///< Daemons, sorted.
@@ -78,13 +78,13 @@
     bool operator==(Block const&) const = default;
 };
 
-/// What the holder is to do for an engine now.
+/// An action of the lease holder on an engine.
 enum class EngineActionKind : std::uint8_t {
-    Raise, ///< Write an order that holds only the number.
+    Raise, ///< Write an order that carries only the fencing token.
     Read, ///< Read the engine's state.
-    Order, ///< Write an order with number and wish.
-    Close, ///< Ask all daemons that may route there to close the engine.
-    Open, ///< Tell them to open it.
+    Order, ///< Write an order with the fencing token and the desired state.
+    Close, ///< Ask all daemons that may route to the engine to close it.
+    Open, ///< Tell those daemons to reopen it.
 };
 
 inline constexpr Core::EnumNames<EngineActionKind, 5> engineActionKindNames { {
@@ -95,101 +95,101 @@
     { EngineActionKind::Open, "open" },
 } };
 
-/// An action. A write (Raise, Order) goes over a connection that is opened for it, with no other write on it,
-/// and `answerOrder` has to follow it sooner or later.
+/// An action with its parameters. A write (Raise, Order) must be sent on a connection of its own that carries no other
+/// write, and must eventually be followed by a call of `recordOrderOutcome`.
 struct EngineAction {
     EngineActionKind kind { EngineActionKind::Read };
     std::uint64_t fencing { 0 };
-    std::string orderId; ///< For Raise and Order: the same for each try of one order.
-    EngineWish wish; ///< For Order.
-    std::uint64_t round { 0 }; ///< For Close and Open: to be named in acknowledgements.
+    std::string orderId; ///< For Raise and Order: the same for each attempt of one order.
+    DesiredEngineState desired; ///< For Order.
+    std::uint64_t round { 0 }; ///< For Close and Open: echoed in acknowledgements.
     Duration timeToLive { Duration::zero() }; ///< For Close.
 };
 
-/// How a write ended.
-enum class OrderAnswer : std::uint8_t {
+/// The outcome of a write.
+enum class OrderOutcome : std::uint8_t {
     Accepted,
-    HigherNumber, ///< The engine has seen a higher number: authority is lost.
-    Refused, ///< Refused for another reason; it had no effect.
-    Unknown, ///< No answer: it may have had its effect, or may have it later.
+    StaleFencing, ///< The engine has seen a higher fencing token: this daemon has lost its authority.
+    Refused, ///< Rejected for another reason, without effect.
+    Unknown, ///< No response: the write may have taken effect, or may do so later.
 };
 
-/// The orders of a lease's holder to one engine, from claim to read-back state: docs/design/authority.md,
-/// "Orders". Events come in, `poll` gives one action at a time. Pure and not thread-safe.
+/// State machine for the orders of a lease holder to one engine, from the claim to the state that is read back: see
+/// docs/design/authority.md, "Orders". Takes events and returns one action per `poll`. Does no I/O and is not thread-safe.
 class EngineOrders {
 public:
     explicit EngineOrders(OrderSettings const&);
 
-    /// The lease was gained under `fencing`. `checksFencing` only if the engine is said to check; `unsettled` as in `Lease`.
+    /// Handles gaining the lease under `fencing`. `checksFencing`: the engine is declared to check it. `unsettled` as in `Lease`.
     void gainAuthority(std::uint64_t fencing, bool checksFencing, std::vector<FormerHolder> const& unsettled);
 
-    /// The lease is this daemon's no more, for whatever reason.
+    /// Handles the loss of the lease for any reason.
     void loseAuthority();
 
-    /// The former holders of the lease of which there is no evidence yet.
+    /// Sets the former holders of the lease that are not yet proven to have stopped.
     void setUnsettled(std::vector<FormerHolder> const&);
 
-    void setWish(EngineWish const&);
+    void setDesiredState(DesiredEngineState const&);
 
-    /// Who may route to the engine now.
+    /// Sets the daemons that may route to the engine now.
     void setRouters(std::vector<Router>);
 
-    /// A daemon closed the engine at the request of `round`.
+    /// Handles a daemon's acknowledgement that it closed the engine in response to `round`.
     void acknowledgeClose(Router const&, std::uint64_t round, Time now);
 
-    /// A read ended well.
+    /// Handles a successful read.
     void observe(EngineState const&, Time now);
 
-    /// A read failed.
+    /// Handles a failed read.
     void observeUnreachable(Time now);
 
-    /// A write ended. `orderId` is that of the action.
-    void answerOrder(std::string const& orderId, OrderAnswer, Time now);
+    /// Handles the outcome of a write. `orderId` is that of its action.
+    void recordOrderOutcome(std::string const& orderId, OrderOutcome, Time now);
 
-    /// Returns the next action, if one is due. `mayOrder` is the answer of `LeaseKeeper::mayOrder(now)`: a write is
-    /// only given when it holds, and has to follow at once. `mayStartChange` says whether one more engine may
-    /// change now. A load takes a token from `weights`.
-    std::optional<EngineAction> poll(Time now, bool mayOrder, bool mayStartChange, TokenBucket& weights);
+    /// Returns the next action, if one is due. `mayOrder` is the result of `LeaseKeeper::mayOrder(now)`: a write is
+    /// returned only if it is true, and must be sent at once. `mayStartChange` is whether one more engine may
+    /// change now. A load consumes a token of `loadBudget`.
+    std::optional<EngineAction> poll(Time now, bool mayOrder, bool mayStartChange, TokenBucket& loadBudget);
 
-    /// Returns whether a write has no answer yet: until then the lease is neither released nor acknowledged.
+    /// Returns whether a write has no definite outcome yet. Until then the lease must not be released or its loss acknowledged.
     bool hasUnansweredOrder() const { return m_pending.has_value(); }
 
-    /// Returns whether a change of this engine is under way: it counts against the changes at once.
+    /// Returns whether a change of this engine is in progress; such engines count towards the limit of concurrent changes.
     bool isChanging() const { return m_phase == OrderPhase::Closing || m_phase == OrderPhase::Ordering || m_phase == OrderPhase::Verifying; }
 
     OrderPhase phase() const { return m_phase; }
     std::optional<Block> const& block() const { return m_block; }
 
-    /// Returns the last state that was read under this authority, if any.
+    /// Returns the last state that was read under the current fencing token, if any.
     std::optional<EngineState> const& state() const { return m_state; }
 
-    /// Returns whether an engine refused the number: a newer claim exists, whatever was read from the log.
+    /// Returns whether the engine rejected the fencing token: a newer claim exists, even if it was not read from the log yet.
     bool isRefused() const { return m_isRefused; }
 
 private:
-    /// A write that has no answer, or only an unknown one: it may still reach the engine.
-    struct Pending {
+    /// A write without a definite outcome: it may still reach the engine.
+    struct PendingWrite {
         std::string orderId;
-        std::string incarnation; ///< Of the engine when it was written, if that was known.
+        std::string incarnation; ///< The engine's incarnation at the time of the write, if known.
         bool isUnknown { false };
-        bool hadUnknownTry { false }; ///< An earlier try of this order ended without an answer.
+        bool hadUnknownAttempt { false }; ///< An earlier attempt of this order ended without a response.
         Time unknownSince;
-        std::optional<EngineState> firstRead; ///< The first of two equal reads since then.
+        std::optional<EngineState> firstRead; ///< The first of two equal reads since `unknownSince`.
     };
 
     void enter(OrderPhase);
-    void refuse();
+    void markRefused();
     void resolvePending(EngineState const&);
     void observeReading(EngineState const&);
     void observeVerifying(EngineState const&, Time now);
     void startChange(Time now, bool hasToken);
-    void abandonChange();
-    void putOff(Time now, BlockReason, std::vector<std::string> names);
+    void endChange();
+    void postponeChange(Time now, BlockReason, std::vector<std::string> names);
 
     std::optional<EngineAction> pollRaising(Time now, bool mayOrder);
-    std::optional<EngineAction> pollSettled(Time now, bool mayOrder, bool mayStartChange, TokenBucket& weights);
-    std::optional<EngineAction> pollClosing(Time now, bool mayOrder, TokenBucket& weights);
-    std::optional<EngineAction> pollOrdering(Time now, bool mayOrder, TokenBucket& weights);
+    std::optional<EngineAction> pollSettled(Time now, bool mayOrder, bool mayStartChange, TokenBucket& loadBudget);
+    std::optional<EngineAction> pollClosing(Time now, bool mayOrder, TokenBucket& loadBudget);
+    std::optional<EngineAction> pollOrdering(Time now, bool mayOrder, TokenBucket& loadBudget);
     std::optional<EngineAction> pollVerifying(Time now);
     std::optional<EngineAction> closeAction(Time now);
     std::optional<EngineAction> readAction(Time now, Duration interval);
@@ -202,22 +202,22 @@
     bool m_hasFencing { false };
     bool m_checksFencing { false };
     bool m_isRefused { false };
-    std::vector<std::string> m_unsettled; ///< Names of daemons.
-    EngineWish m_wish;
-    EngineWish m_ordered; ///< The wish of the change under way.
-    std::uint64_t m_change { 0 }; ///< Number of the change under way.
-    std::string m_orderedIncarnation; ///< The engine's when the order was last written.
-    bool m_hasToken { false }; ///< The change under way needs no further token.
+    std::vector<std::string> m_unsettled; ///< Daemon names of the former holders, sorted.
+    DesiredEngineState m_desired;
+    DesiredEngineState m_orderedState; ///< The desired state that the change in progress applies.
+    std::uint64_t m_change { 0 }; ///< Number of the change in progress.
+    std::string m_orderedIncarnation; ///< The engine's incarnation when the order was last written.
+    bool m_hasToken { false }; ///< The change in progress has its load budget token.
     DrainTracker m_drain;
     std::optional<EngineState> m_state;
     std::optional<EngineState> m_firstRead; ///< In Reading: the first of two equal reads.
-    std::optional<Pending> m_pending;
+    std::optional<PendingWrite> m_pending;
     std::optional<Block> m_block;
-    std::optional<Time> m_lastRead; ///< In this phase.
+    std::optional<Time> m_lastRead; ///< Within the current phase.
     std::optional<Time> m_lastWrite;
     std::optional<Time> m_lastClose;
     Time m_closingSince;
-    std::optional<Time> m_notBefore; ///< No change before this time.
+    std::optional<Time> m_notBefore; ///< No change starts before this time.
     bool m_isOpenDue { false };
 };
 
--- a/Libraries/LibAuthority/EngineOrdersPoll.cpp
+++ b/Libraries/LibAuthority/EngineOrdersPoll.cpp
@@ -1,9 +1,9 @@
-// What EngineOrders does next, phase by phase; EngineOrders.cpp has what events do to it.
+// The actions of EngineOrders for each phase; EngineOrders.cpp handles its events.
 #include <LibAuthority/EngineOrders.h>
 
 namespace Authority {
 
-std::optional<EngineAction> EngineOrders::poll(Time now, bool mayOrder, bool mayStartChange, TokenBucket& weights)
+std::optional<EngineAction> EngineOrders::poll(Time now, bool mayOrder, bool mayStartChange, TokenBucket& loadBudget)
 {
     switch (m_phase) {
     case OrderPhase::NoAuthority:
@@ -15,11 +15,11 @@
     case OrderPhase::Reading:
         return readAction(now, m_settings.retryInterval);
     case OrderPhase::Settled:
-        return pollSettled(now, mayOrder, mayStartChange, weights);
+        return pollSettled(now, mayOrder, mayStartChange, loadBudget);
     case OrderPhase::Closing:
-        return pollClosing(now, mayOrder, weights);
+        return pollClosing(now, mayOrder, loadBudget);
     case OrderPhase::Ordering:
-        return pollOrdering(now, mayOrder, weights);
+        return pollOrdering(now, mayOrder, loadBudget);
     case OrderPhase::Verifying:
         return pollVerifying(now);
     }
@@ -35,7 +35,7 @@
     return writeAction(now, EngineActionKind::Raise, std::to_string(m_fencing) + "-raise");
 }
 
-std::optional<EngineAction> EngineOrders::pollSettled(Time now, bool mayOrder, bool mayStartChange, TokenBucket& weights)
+std::optional<EngineAction> EngineOrders::pollSettled(Time now, bool mayOrder, bool mayStartChange, TokenBucket& loadBudget)
 {
     if (m_isOpenDue) {
         m_isOpenDue = false;
@@ -43,7 +43,7 @@
     }
     if (!m_state || m_state->phase != EnginePhase::Serving || m_pending)
         return readAction(now, m_settings.retryInterval);
-    if (isMet(m_wish, *m_state)) {
+    if (isSatisfied(m_desired, *m_state)) {
         if (m_block && m_block->reason != BlockReason::EngineUnreachable)
             m_block.reset();
         return readAction(now, m_settings.readInterval);
@@ -51,29 +51,29 @@
     bool isUnreachable = m_block && m_block->reason == BlockReason::EngineUnreachable;
     if (isUnreachable || (m_notBefore && now < *m_notBefore))
         return readAction(now, m_settings.readInterval);
-    bool isLoad = needsLoad(m_wish, *m_state);
+    bool isLoad = needsLoad(m_desired, *m_state);
     if (!mayOrder)
         m_block = Block { BlockReason::LeaseLapsed, {} };
     else if (!mayStartChange)
         m_block = Block { BlockReason::ChangeBudget, {} };
-    else if (isLoad && !weights.tryTake(now))
+    else if (isLoad && !loadBudget.tryConsume(now))
         m_block = Block { BlockReason::WeightBudget, {} };
     else
         startChange(now, isLoad);
     return m_phase == OrderPhase::Closing ? closeAction(now) : readAction(now, m_settings.readInterval);
 }
 
-std::optional<EngineAction> EngineOrders::pollClosing(Time now, bool mayOrder, TokenBucket& weights)
+std::optional<EngineAction> EngineOrders::pollClosing(Time now, bool mayOrder, TokenBucket& loadBudget)
 {
-    if (!mayOrder || m_wish != m_ordered) {
+    if (!mayOrder || m_desired != m_orderedState) {
         if (m_hasToken)
-            weights.giveBack(now);
-        abandonChange();
+            loadBudget.refund(now);
+        endChange();
         return openAction(now);
     }
     if (std::optional<EngineAction> action = closeAction(now))
         return action;
-    std::vector<std::string> missing = m_drain.missing(now);
+    std::vector<std::string> missing = m_drain.unacknowledged(now);
     std::optional<Time> closedSince = m_drain.closedSince(now);
     bool hasEnded = closedSince && m_state && m_state->asOf >= *closedSince && m_state->running == 0;
     if (hasEnded) {
@@ -84,22 +84,22 @@
     Duration timeout = missing.empty() ? m_settings.drainTimeout : m_settings.closeTimeout;
     if (now - m_closingSince >= timeout) {
         if (m_hasToken)
-            weights.giveBack(now);
-        putOff(now, reason, std::move(missing));
+            loadBudget.refund(now);
+        postponeChange(now, reason, std::move(missing));
         return std::nullopt;
     }
     m_block = Block { reason, std::move(missing) };
     return readAction(now, m_settings.retryInterval);
 }
 
-std::optional<EngineAction> EngineOrders::pollOrdering(Time now, bool mayOrder, TokenBucket& weights)
+std::optional<EngineAction> EngineOrders::pollOrdering(Time now, bool mayOrder, TokenBucket& loadBudget)
 {
     if (std::optional<EngineAction> action = closeAction(now))
         return action;
     if (m_pending && !m_pending->isUnknown)
         return std::nullopt;
     if (!mayOrder && !m_pending) {
-        abandonChange();
+        endChange();
         return std::nullopt;
     }
     if (!mayOrder) {
@@ -110,9 +110,9 @@
         enter(OrderPhase::Closing);
         return std::nullopt;
     }
-    bool isLoad = m_state && needsLoad(m_ordered, *m_state);
+    bool isLoad = m_state && needsLoad(m_orderedState, *m_state);
     if (isLoad && !m_hasToken) {
-        m_hasToken = weights.tryTake(now);
+        m_hasToken = loadBudget.tryConsume(now);
         if (!m_hasToken) {
             m_block = Block { BlockReason::WeightBudget, {} };
             return std::nullopt;
@@ -161,7 +161,7 @@
     return action;
 }
 
-/// A write is given only when no other may still be on its way, save earlier tries of the same order.
+/// Returns a write only if no other may still be in flight, except for earlier attempts of the same order.
 std::optional<EngineAction> EngineOrders::writeAction(Time now, EngineActionKind kind, std::string const& orderId)
 {
     if (m_pending && !m_pending->isUnknown)
@@ -171,14 +171,14 @@
     if (!isDue(m_lastWrite, now, m_settings.retryInterval))
         return std::nullopt;
     m_lastWrite = now;
-    m_pending = Pending { orderId, m_state ? m_state->incarnation : std::string(), false, m_pending.has_value(), {}, {} };
+    m_pending = PendingWrite { orderId, m_state ? m_state->incarnation : std::string(), false, m_pending.has_value(), {}, {} };
     EngineAction action;
     action.kind = kind;
     action.fencing = m_fencing;
     action.orderId = orderId;
     m_orderedIncarnation = m_pending->incarnation;
     if (kind == EngineActionKind::Order)
-        action.wish = m_ordered;
+        action.desired = m_orderedState;
     return action;
 }
 
--- a/Libraries/LibAuthority/EngineState.cpp
+++ b/Libraries/LibAuthority/EngineState.cpp
@@ -5,21 +5,21 @@
 namespace {
 
 template <typename T>
-bool agrees(std::optional<T> const& wanted, T const& actual)
+bool matches(std::optional<T> const& desired, T const& actual)
 {
-    return !wanted || *wanted == actual;
+    return !desired || *desired == actual;
 }
 
 }
 
-bool isMet(EngineWish const& wish, EngineState const& state)
+bool isSatisfied(DesiredEngineState const& desired, EngineState const& state)
 {
-    return agrees(wish.role, state.role) && !needsLoad(wish, state);
+    return matches(desired.role, state.role) && !needsLoad(desired, state);
 }
 
-bool needsLoad(EngineWish const& wish, EngineState const& state)
+bool needsLoad(DesiredEngineState const& desired, EngineState const& state)
 {
-    return !agrees(wish.model, state.model) || !agrees(wish.adapter, state.adapter) || !agrees(wish.version, state.version);
+    return !matches(desired.model, state.model) || !matches(desired.adapter, state.adapter) || !matches(desired.version, state.version);
 }
 
 bool haveSameSettings(EngineState const& a, EngineState const& b)
--- a/Libraries/LibAuthority/EvidenceFinder.h
+++ b/Libraries/LibAuthority/EvidenceFinder.h
@@ -12,7 +12,7 @@
 
 namespace Authority {
 
-/// A former holder with the evidence that it can't order any more.
+/// The evidence that a former holder can't send orders any more.
 struct Finding {
     std::uint64_t formerFencing { 0 };
     Evidence evidence { Evidence::Replaced };
@@ -20,36 +20,36 @@
     bool operator==(Finding const&) const = default;
 };
 
-/// Looks for evidence about the former holders of one lease, from what peers answer and what the platform lists.
-/// Pure and not thread-safe.
+/// Detects that former holders of one lease can't send orders any more, from the responses of peers and the platform's
+/// list of VMs. Does no I/O and is not thread-safe.
 class EvidenceFinder {
 public:
-    /// `listLag`: how far the platform's list of VMs may be behind.
+    /// `listLag`: the maximum staleness of the platform's list of VMs.
     explicit EvidenceFinder(Duration listLag);
 
-    /// Takes the unsettled former holders of the lease, as read from the log at `now`.
+    /// Sets the unsettled former holders of the lease, as read from the log at `now`.
     void observeUnsettled(std::vector<FormerHolder> const&, Time now);
 
-    /// A process answered at `address` on a connection that was opened at `openedAt`.
+    /// Handles a response of the process at `address` on a connection that was opened at `openedAt`.
     void observeAnswer(std::string const& address, std::string const& incarnation, Time openedAt);
 
-    /// The platform listed exactly these VMs, by name, in a read that began at `readAt`.
+    /// Handles the platform's complete list of VM names from a read that started at `readAt`.
     void observeList(std::set<std::string> const& names, Time readAt);
 
-    /// Returns what was found, by ascending number. The holder appends a `Settlement` for each.
+    /// Returns the findings by ascending fencing token. The holder appends a `Settlement` for each.
     std::vector<Finding> findings() const;
 
 private:
     struct Former {
         Holder holder;
-        Time seenAt; ///< When it was first read that this process had claimed the lease.
+        Time seenAt; ///< When this process was first seen as a former holder in the log.
         bool isReplaced { false };
-        std::optional<Time> missingSince; ///< From the list, without a break.
-        Time missingUntil; ///< The last read of the list that lacked it.
+        std::optional<Time> missingSince; ///< The first of the consecutive lists without the VM.
+        Time missingUntil; ///< The last of those lists.
     };
 
     Duration m_listLag;
-    std::map<std::uint64_t, Former> m_formers;
+    std::map<std::uint64_t, Former> m_formerHolders;
 };
 
 }
--- a/Libraries/LibAuthority/LeaseFold.cpp
+++ b/Libraries/LibAuthority/LeaseFold.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-/// A process that answers at an address proves that no other process has it: the port is bound exclusively.
-/// So a claim settles all former holders at its own address, be they the same process or an earlier one.
+/// A port is bound exclusively, so the process that has an address proves that no other process has it. A claim therefore
+/// settles all former holders at its own address, whether the same process or an earlier one.
 void settleAddress(std::vector<FormerHolder>& unsettled, std::string const& address)
 {
     std::erase_if(unsettled, [&address](FormerHolder const& former) { return former.holder.address == address; });
@@ -18,7 +18,7 @@
 {
     BOOST_OUTCOME_TRY(LeaseState state, decodeLeaseState(snapshot.state()));
     if (state.nextOffset != snapshot.nextOffset())
-        return Core::fail(Core::ErrorCode::Corrupt, "the snapshot covers another prefix than it says");
+        return Core::fail(Core::ErrorCode::Corrupt, "the snapshot's state ends at a different offset than its header");
     LeaseFold fold;
     fold.m_state = std::move(state);
     return fold;
@@ -39,7 +39,7 @@
     if (offset < m_state.nextOffset)
         return LeaseApplyResult { LeaseApplied::AlreadyRead, {} };
     if (offset > m_state.nextOffset)
-        return Core::fail(Core::ErrorCode::Gap, "the next offset to read is " + std::to_string(m_state.nextOffset) + ", read " + std::to_string(offset));
+        return Core::fail(Core::ErrorCode::Gap, "expected offset " + std::to_string(m_state.nextOffset) + ", got " + std::to_string(offset));
     LeaseApplyResult result { LeaseApplied::Undecodable, {} };
     if (Core::Result<State::LogRecord> other = State::decodeLogRecord(bytes); other && std::holds_alternative<State::SnapshotPart>(other.value())) {
         m_tracker.note(std::get<State::SnapshotPart>(other.value()));
--- a/Libraries/LibAuthority/LeaseFold.h
+++ b/Libraries/LibAuthority/LeaseFold.h
@@ -13,12 +13,12 @@
 
 namespace Authority {
 
-/// What became of a record of the lease stream.
+/// The outcome of applying a record of the lease stream.
 enum class LeaseApplied : std::uint8_t {
     Accepted, ///< It changed the leases of `pools`.
-    Void, ///< It came too late or was a repeat; nothing changed.
-    Undecodable, ///< Not a record of ours; skipped by every reader alike.
-    SnapshotNoted, ///< A part of a snapshot; nothing changed.
+    Void, ///< It was outdated or a duplicate; nothing changed.
+    Undecodable, ///< Not a valid lease record; every reader skips it alike.
+    SnapshotNoted, ///< A part of a snapshot; no lease changed.
     AlreadyRead, ///< Its offset was read before; nothing changed.
 };
 
@@ -30,14 +30,14 @@
     { LeaseApplied::AlreadyRead, "already-read" },
 } };
 
-/// The result of one step.
+/// The result of applying one record.
 struct LeaseApplyResult {
     LeaseApplied applied { LeaseApplied::Void };
-    std::vector<std::string> pools; ///< Those whose lease changed.
+    std::vector<std::string> pools; ///< The pools whose lease changed.
 };
 
-/// The leases as a pure function of a prefix of their stream; its snapshots work as those of `State::Fold`.
-/// docs/design/authority.md has the rules. Not thread-safe.
+/// Computes the leases as a pure function of a prefix of their stream. Snapshots work as in `State::Fold`. The rules are
+/// in docs/design/authority.md. Not thread-safe.
 class LeaseFold {
 public:
     /// Creates the fold of the empty prefix.
@@ -46,16 +46,16 @@
     /// Creates the fold of the prefix that the snapshot covers. Errors: Corrupt. Thread-safe.
     static Core::Result<LeaseFold> fromSnapshot(State::Snapshot const&);
 
-    /// Reads the record at `offset`. Errors (Gap): offsets before it are missing; nothing changed.
+    /// Applies the record at `offset`. Errors (Gap): earlier offsets are missing; nothing changed.
     Core::Result<LeaseApplyResult> apply(std::uint64_t offset, std::string_view bytes);
 
-    /// Goes on from a snapshot that covers more; false, with nothing changed, when it does not. Errors: Corrupt.
+    /// Adopts a snapshot that covers a longer prefix; otherwise returns false and changes nothing. Errors: Corrupt.
     Core::Result<bool> adopt(State::Snapshot const&);
 
-    /// Returns the snapshot of what was read.
+    /// Returns a snapshot of the prefix that was applied.
     State::Snapshot snapshot() const;
 
-    /// Returns a pool's lease, or null when there never was one. Valid until the next change.
+    /// Returns a pool's lease, or null if there never was one. The pointer is valid until the next change.
     Lease const* find(std::string const& pool) const;
 
     std::uint64_t nextOffset() const { return m_state.nextOffset; }
--- a/Libraries/LibAuthority/LeaseKeeper.cpp
+++ b/Libraries/LibAuthority/LeaseKeeper.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Appends that may still be read back; older ones than these count for nothing.
-constexpr std::size_t maximumSent = 16;
+/// Number of appends whose start times are kept; an older one that is read back doesn't extend the term.
+constexpr std::size_t maximumPendingAppends = 16;
 
 }
 
@@ -43,8 +43,8 @@
         m_validUntil = Time::min();
         m_superseded.reset();
     }
-    std::map<std::uint64_t, Time>::const_iterator sent = m_sent.find(m_lease->lastId);
-    if (sent != m_sent.end())
+    std::map<std::uint64_t, Time>::const_iterator sent = m_pendingAppends.find(m_lease->lastId);
+    if (sent != m_pendingAppends.end())
         m_validUntil = std::max(m_validUntil, sent->second + m_settings.duration - m_settings.clockMargin);
 }
 
@@ -77,7 +77,7 @@
 
 std::optional<LeaseRecord> LeaseKeeper::poll(Time now, bool hasUnansweredOrders)
 {
-    bool isRetryDue = !m_lastSent || now - *m_lastSent >= m_settings.retryInterval;
+    bool isRetryDue = !m_lastAppendAt || now - *m_lastAppendAt >= m_settings.retryInterval;
     if (!isRetryDue)
         return std::nullopt;
     if (m_superseded) {
@@ -85,7 +85,7 @@
         if (!isAwaited) {
             m_superseded.reset();
         } else if (!hasUnansweredOrders) {
-            m_lastSent = now;
+            m_lastAppendAt = now;
             return LeaseRecord(Acknowledgement { m_pool, *m_superseded });
         }
         return std::nullopt;
@@ -96,7 +96,7 @@
         return pollHolder(now);
     if (hasUnansweredOrders)
         return std::nullopt;
-    m_lastSent = now;
+    m_lastAppendAt = now;
     return LeaseRecord(Release { m_pool, *m_fencing });
 }
 
@@ -106,19 +106,19 @@
     if (!m_isCandidate || !claimable || now < *claimable)
         return std::nullopt;
     std::optional<std::uint64_t> previous = m_lease ? std::optional(m_lease->lastRecord) : std::nullopt;
-    return LeaseRecord(Claim { m_pool, m_self, previous, sendAt(now) });
+    return LeaseRecord(Claim { m_pool, m_self, previous, beginAppend(now) });
 }
 
 std::optional<LeaseRecord> LeaseKeeper::pollHolder(Time now)
 {
-    if (m_lastSent && now - *m_lastSent < m_settings.renewInterval && mayOrder(now + m_settings.renewInterval))
+    if (m_lastAppendAt && now - *m_lastAppendAt < m_settings.renewInterval && mayOrder(now + m_settings.renewInterval))
         return std::nullopt;
     std::uint64_t fencing = *m_fencing;
-    return LeaseRecord(Renewal { { { m_pool, fencing, sendAt(now) } } });
+    return LeaseRecord(Renewal { { { m_pool, fencing, beginAppend(now) } } });
 }
 
-/// A lease that was released, or never held, is free at once. Any other is left until its holder's time,
-/// which began before the append that was read, is certainly over.
+/// A lease that was released or never held can be claimed at once. Any other can be claimed only when its holder's term,
+/// which started before the append that was read, has certainly ended.
 std::optional<Time> LeaseKeeper::claimableAt() const
 {
     if (!m_changedAt)
@@ -127,16 +127,16 @@
     return *m_changedAt + (isFree ? Duration::zero() : m_settings.duration + m_settings.clockMargin) + m_rank * m_settings.rankStep;
 }
 
-std::uint64_t LeaseKeeper::sendAt(Time now)
+std::uint64_t LeaseKeeper::beginAppend(Time now)
 {
     std::uint64_t id = m_random();
-    if (m_sent.size() >= maximumSent) {
-        std::map<std::uint64_t, Time>::iterator oldest = std::min_element(m_sent.begin(), m_sent.end(),
+    if (m_pendingAppends.size() >= maximumPendingAppends) {
+        std::map<std::uint64_t, Time>::iterator oldest = std::min_element(m_pendingAppends.begin(), m_pendingAppends.end(),
             [](std::map<std::uint64_t, Time>::value_type const& a, std::map<std::uint64_t, Time>::value_type const& b) { return a.second < b.second; });
-        m_sent.erase(oldest);
+        m_pendingAppends.erase(oldest);
     }
-    m_sent.emplace(id, now);
-    m_lastSent = now;
+    m_pendingAppends.emplace(id, now);
+    m_lastAppendAt = now;
     return id;
 }
 
--- a/Libraries/LibAuthority/LeaseRecord.cpp
+++ b/Libraries/LibAuthority/LeaseRecord.cpp
@@ -67,7 +67,7 @@
         claim.previous = proto.previous();
     claim.id = proto.id();
     if (!State::checkName(claim.pool) || claim.holder.incarnation.empty() || claim.holder.address.empty())
-        return corrupt("names no pool or no holder");
+        return corrupt("has no valid pool or holder");
     return LeaseRecord(std::move(claim));
 }
 
@@ -83,7 +83,7 @@
 {
     std::optional<Evidence> evidence = Core::valueOf(evidenceNames, proto.evidence());
     if (!evidence)
-        return corrupt("names unknown evidence");
+        return corrupt("has an unknown kind of evidence");
     return LeaseRecord(Settlement { proto.pool(), proto.fencing(), proto.former_fencing(), *evidence });
 }
 
--- a/Libraries/LibAuthority/LeaseRecord.h
+++ b/Libraries/LibAuthority/LeaseRecord.h
@@ -12,17 +12,17 @@
 
 namespace Authority {
 
-/// Takes the lease of a pool. Accepted at offset n, it makes n the lease's fencing number.
+/// Claims the lease of a pool. If it is accepted, its offset becomes the fencing token of the lease.
 struct Claim {
     std::string pool;
     Holder holder;
-    std::optional<std::uint64_t> previous; ///< The last record of this lease that the writer had read; void if there is a later one.
-    std::uint64_t id { 0 }; ///< Tells the writer which of its appends was read back.
+    std::optional<std::uint64_t> previous; ///< Last record of this lease that the writer had read; void if there is a later one.
+    std::uint64_t id { 0 }; ///< Identifies the append when the writer reads it back.
 
     bool operator==(Claim const&) const = default;
 };
 
-/// One lease of a renewal.
+/// One lease in a renewal.
 struct RenewedLease {
     std::string pool;
     std::uint64_t fencing { 0 };
@@ -31,14 +31,14 @@
     bool operator==(RenewedLease const&) const = default;
 };
 
-/// Prolongs leases of one holder; void for each whose fencing number is another by now.
+/// Extends leases of one holder; void for each lease that has another fencing token by now.
 struct Renewal {
     std::vector<RenewedLease> leases;
 
     bool operator==(Renewal const&) const = default;
 };
 
-/// The holder gives its lease up: it has no unanswered order and will never send one under this number.
+/// The holder releases its lease: it has no unanswered order and never sends another with this fencing token.
 struct Release {
     std::string pool;
     std::uint64_t fencing { 0 };
@@ -46,7 +46,7 @@
     bool operator==(Release const&) const = default;
 };
 
-/// A former holder says of its own number what a release says: it has read the newer claim.
+/// A former holder that has read the newer claim confirms the same for its own fencing token as a release does.
 struct Acknowledgement {
     std::string pool;
     std::uint64_t fencing { 0 };
@@ -54,9 +54,9 @@
     bool operator==(Acknowledgement const&) const = default;
 };
 
-/// Why a former holder can't order any more. A clock is never a reason: a paused process has none.
+/// Why a former holder can't send orders any more. Elapsed time is no evidence, as a paused process doesn't notice it.
 enum class Evidence : std::uint8_t {
-    Replaced, ///< Another incarnation answered at its address, which is bound exclusively.
+    Replaced, ///< Another incarnation responded at its address, which is bound exclusively.
     Gone, ///< Its VM has been missing from the platform's list for longer than the list's lag.
 };
 
@@ -65,10 +65,10 @@
     { Evidence::Gone, "gone" },
 } };
 
-/// The holder says that it saw evidence about a former one, so that its successors need not see it again.
+/// Records the holder's evidence about a former holder, so that its successors need not find it again.
 struct Settlement {
     std::string pool;
-    std::uint64_t fencing { 0 }; ///< The writer's number; void if it is no longer the lease's.
+    std::uint64_t fencing { 0 }; ///< The writer's fencing token; the settlement is void if the lease has another by now.
     std::uint64_t formerFencing { 0 };
     Evidence evidence { Evidence::Replaced };
 
@@ -78,10 +78,10 @@
 /// A record of the lease stream.
 using LeaseRecord = std::variant<Claim, Renewal, Release, Acknowledgement, Settlement>;
 
-/// Returns the record's bytes. Thread-safe.
+/// Encodes a record. Thread-safe.
 std::string encode(LeaseRecord const&);
 
-/// Reads a record. Errors (Corrupt): not such a record, a bad pool name, a newer format. Thread-safe.
+/// Decodes a record. Errors (Corrupt): not a lease record, invalid pool name, newer format. Thread-safe.
 Core::Result<LeaseRecord> decodeLeaseRecord(std::string_view bytes);
 
 }
--- a/Libraries/LibAuthority/PoolOrders.cpp
+++ b/Libraries/LibAuthority/PoolOrders.cpp
@@ -8,7 +8,7 @@
     , m_pool(pool)
     , m_keeper(settings.lease, std::move(pool), std::move(self), seed)
     , m_evidence(settings.listLag)
-    , m_weights(settings.loadsPerMinute, 1, now)
+    , m_loadBudget(settings.loadsPerMinute, 1, now)
 {
 }
 
@@ -42,10 +42,10 @@
     std::erase_if(m_engines, [&names](std::map<std::string, Entry>::value_type const& it) { return !names.contains(it.first); });
 }
 
-void PoolOrders::setWish(std::string const& engine, EngineWish const& wish)
+void PoolOrders::setDesiredState(std::string const& engine, DesiredEngineState const& desired)
 {
     if (EngineOrders* orders = findMutable(engine))
-        orders->setWish(wish);
+        orders->setDesiredState(desired);
 }
 
 void PoolOrders::setRouters(std::vector<Router> const& routers)
@@ -67,10 +67,10 @@
         orders->observeUnreachable(now);
 }
 
-void PoolOrders::answerOrder(std::string const& engine, std::string const& orderId, OrderAnswer answer, Time now)
+void PoolOrders::recordOrderOutcome(std::string const& engine, std::string const& orderId, OrderOutcome outcome, Time now)
 {
     if (EngineOrders* orders = findMutable(engine))
-        orders->answerOrder(orderId, answer, now);
+        orders->recordOrderOutcome(orderId, outcome, now);
 }
 
 void PoolOrders::acknowledgeClose(std::string const& engine, Router const& router, std::uint64_t round, Time now)
@@ -111,7 +111,7 @@
     for (std::map<std::string, Entry>::value_type& it : m_engines) {
         EngineOrders& orders = it.second.orders;
         bool wasChanging = orders.isChanging();
-        std::optional<EngineAction> action = orders.poll(now, mayOrder, changing < m_settings.changesAtOnce, m_weights);
+        std::optional<EngineAction> action = orders.poll(now, mayOrder, changing < m_settings.maximumConcurrentChanges, m_loadBudget);
         changing += !wasChanging && orders.isChanging() ? 1 : 0;
         if (action)
             actions.emplace_back(EngineCommand { it.first, std::move(*action) });
--- a/Libraries/LibAuthority/PoolOrders.h
+++ b/Libraries/LibAuthority/PoolOrders.h
@@ -14,19 +14,19 @@
 
 namespace Authority {
 
-/// Times and bounds of one pool.
+/// Timing and limits of one pool.
 struct PoolSettings {
     LeaseSettings lease;
     OrderSettings orders;
-    Duration listLag { std::chrono::seconds(60) }; ///< How far the platform's list of VMs may be behind.
-    std::size_t changesAtOnce { 1 }; ///< Engines that may be changing at the same time.
-    double loadsPerMinute { 1 }; ///< This pool's share of the weight store's budget.
+    Duration listLag { std::chrono::seconds(60) }; ///< Maximum staleness of the platform's list of VMs.
+    std::size_t maximumConcurrentChanges { 1 }; ///< Engines that may change at the same time.
+    double loadsPerMinute { 1 }; ///< This pool's share of the weight store's load budget.
 };
 
 /// An engine of the pool.
 struct PoolEngine {
     std::string name;
-    bool checksFencing { false }; ///< Only if it is said to check.
+    bool checksFencing { false }; ///< Whether it is declared to check fencing tokens.
 };
 
 /// An action for one engine.
@@ -35,57 +35,57 @@
     EngineAction action;
 };
 
-/// What the daemon has to do: append a record to the lease stream, or act on an engine.
+/// An action for the daemon to carry out: append a record to the lease stream, or act on an engine.
 using PoolAction = std::variant<LeaseRecord, EngineCommand>;
 
-/// One daemon's part in one pool: its lease, the evidence about former holders, and the orders to all engines. It
-/// joins the pieces in the one safe way; the daemon brings events and carries out actions, in their
-/// order and at once. Pure and not thread-safe.
+/// Coordinates one pool for one daemon: the lease, the evidence about former holders and the orders to all engines. It
+/// enforces the safe order between them; the daemon passes in events and must carry out the returned actions in sequence
+/// and without delay. Does no I/O and is not thread-safe.
 class PoolOrders {
 public:
-    /// Precondition: as `LeaseKeeper`.
+    /// Preconditions: as for `LeaseKeeper`.
     PoolOrders(PoolSettings const&, std::string pool, Holder self, std::uint64_t seed, Time now);
 
-    /// Takes the pool's lease as the fold has it (null: there never was one) after each record of the stream that was
-    /// read at `now`, and once at the start.
+    /// Takes the pool's lease from the fold (null if there never was one) after each record of the stream that was read
+    /// at `now`, and once at startup.
     void observeLease(Lease const*, Time now);
 
     /// As `LeaseKeeper::setCandidate` and `release`.
     void setCandidate(bool isCandidate, std::uint32_t rank) { m_keeper.setCandidate(isCandidate, rank); }
     void release() { m_keeper.release(); }
 
-    /// Sets the engines of the pool, by the platform's list. What is known of the others is dropped.
+    /// Sets the engines of the pool according to the platform's list. The state of all others is discarded.
     void setEngines(std::vector<PoolEngine> const&);
 
-    /// Sets what an engine is wanted to be. Unknown engines are ignored, here and below.
-    void setWish(std::string const& engine, EngineWish const&);
+    /// Sets the desired state of an engine. This and the methods below ignore unknown engines.
+    void setDesiredState(std::string const& engine, DesiredEngineState const&);
 
     /// Sets the daemons that may route to the pool's engines.
     void setRouters(std::vector<Router> const&);
 
-    /// Sets this pool's share of the budget at the weight store.
-    void setLoadsPerMinute(double perMinute, Time now) { m_weights.setRate(perMinute, now); }
+    /// Sets this pool's share of the weight store's load budget.
+    void setLoadsPerMinute(double perMinute, Time now) { m_loadBudget.setRate(perMinute, now); }
 
     /// As the methods of `EngineOrders`.
     void observeEngine(std::string const& engine, EngineState const&, Time now);
     void observeUnreachable(std::string const& engine, Time now);
-    void answerOrder(std::string const& engine, std::string const& orderId, OrderAnswer, Time now);
+    void recordOrderOutcome(std::string const& engine, std::string const& orderId, OrderOutcome, Time now);
     void acknowledgeClose(std::string const& engine, Router const&, std::uint64_t round, Time now);
 
     /// As the methods of `EvidenceFinder`.
     void observeAnswer(std::string const& address, std::string const& incarnation, Time openedAt) { m_evidence.observeAnswer(address, incarnation, openedAt); }
     void observeList(std::set<std::string> const& vmNames, Time readAt) { m_evidence.observeList(vmNames, readAt); }
 
-    /// Returns what is due at `now`.
+    /// Returns the actions that are due at `now`.
     std::vector<PoolAction> poll(Time now);
 
-    /// Returns when to look at the former holders' addresses: while some are unsettled and this daemon holds the lease.
+    /// Returns whether to probe the former holders' addresses: this daemon holds the lease and some of them are unsettled.
     bool needsEvidence() const { return m_keeper.fencing() && m_lease && !m_lease->unsettled.empty(); }
 
     LeaseKeeper const& keeper() const { return m_keeper; }
     std::optional<Lease> const& lease() const { return m_lease; }
 
-    /// Returns the orders to an engine, or null.
+    /// Returns the orders to an engine, or null if it is unknown.
     EngineOrders const* find(std::string const& engine) const;
 
 private:
@@ -103,7 +103,7 @@
     std::string m_pool;
     LeaseKeeper m_keeper;
     EvidenceFinder m_evidence;
-    TokenBucket m_weights;
+    TokenBucket m_loadBudget;
     std::optional<Lease> m_lease;
     std::vector<Router> m_routers;
     std::map<std::string, Entry> m_engines;
--- a/Libraries/LibAuthority/StoreLease.cpp
+++ b/Libraries/LibAuthority/StoreLease.cpp
@@ -23,9 +23,9 @@
         m_fencing.reset();
         return;
     }
-    // Also one whose answer was lost. It counts from when its append was begun, however late it was carried out.
+    // Includes a claim whose response was lost. Its term starts when its append was started, even if the store applied it late.
     m_fencing = newest->offset;
-    m_isClaiming = false;
+    m_isClaimPending = false;
 }
 
 bool StoreLease::isFree(Time now) const
@@ -41,16 +41,16 @@
 
 std::optional<StoreLeaseAppend> StoreLease::poll(bool wantsToOrder, Time now)
 {
-    // An append without an answer may be carried out later: after its order time it gives no authority any more.
-    bool isWaiting = m_isClaiming && now < m_begunAt + m_settings.orderTime;
+    // An append without a response may be applied later, but gives no authority after its order time.
+    bool isWaiting = m_isClaimPending && now < m_appendStartedAt + m_settings.orderTime;
     if (!wantsToOrder || isWaiting || mayOrder(now) || !isFree(now))
         return std::nullopt;
-    m_isClaiming = true;
-    m_begunAt = now;
+    m_isClaimPending = true;
+    m_appendStartedAt = now;
     return StoreLeaseAppend { m_next };
 }
 
-std::optional<StoreLeaseAppend> StoreLease::pollOwn(Time now)
+std::optional<StoreLeaseAppend> StoreLease::pollReclaim(Time now)
 {
     bool isOwn = m_isEndKnown && m_newest && m_newest->holder == m_self;
     return isOwn ? poll(true, now) : std::nullopt;
@@ -58,20 +58,20 @@
 
 void StoreLease::claimAppended(std::uint64_t offset)
 {
-    m_isClaiming = false;
+    m_isClaimPending = false;
     if (m_newest && m_newest->offset > offset)
         return;
     m_newest = StoreLeaseClaim { offset, m_self };
     m_next = std::max(m_next, offset + 1);
-    m_changedAt = m_begunAt;
+    m_changedAt = m_appendStartedAt;
     m_isEndKnown = true;
     m_fencing = offset;
 }
 
 void StoreLease::claimFailed()
 {
-    m_isClaiming = false;
-    // Only a read tells what stands behind the end that was known: another's claim, so that the number of an earlier one is of no use.
+    m_isClaimPending = false;
+    // Only a read shows the records after the known end. One may be another holder's claim, which supersedes this token.
     m_isEndKnown = false;
     m_fencing.reset();
 }
@@ -79,7 +79,7 @@
 void StoreLease::claimUnknown()
 {
     m_isEndKnown = false;
-    // Still claiming: `observe` may find the record, and until the order time is over no other append is made.
+    // The claim stays pending: `observe` may find the record, and no other append is made until the order time is over.
 }
 
 void StoreLease::loseAuthority(Time now)
@@ -90,7 +90,7 @@
 
 bool StoreLease::mayOrder(Time now) const
 {
-    return m_fencing && !m_isClaiming && now < m_begunAt + m_settings.orderTime;
+    return m_fencing && !m_isClaimPending && now < m_appendStartedAt + m_settings.orderTime;
 }
 
 }
--- a/Libraries/LibAuthority/StoreLease.h
+++ b/Libraries/LibAuthority/StoreLease.h
@@ -8,21 +8,21 @@
 
 namespace Authority {
 
-/// Times of a lease that is claimed by conditional appends.
+/// Timing of a lease that is claimed by conditional appends.
 struct StoreLeaseSettings {
-    /// The holder may write orders for this long from before its claim was sent: a few round trips to the engines.
+    /// How long the holder may write orders, from before its claim was sent: a few round trips to the engines.
     std::chrono::milliseconds orderTime { 2'000 };
-    /// Nobody else orders for this long after it: the platform's bound for orders of two holders (`lease_ms`).
+    /// How long no other holder sends orders after that: the platform's minimum between orders of two holders (`lease_ms`).
     std::chrono::milliseconds quietTime { 3'000 };
-    /// Differences of the boot clocks' rates, and the time that a read of the claim takes.
+    /// Allowance for drift between boot clocks and for the duration of a read of the claim.
     std::chrono::milliseconds margin { 300 };
-    /// Whoever takes the orders refuses each number below one that it has seen: then a former holder need not be waited for, as
-    /// nothing that it still sends is carried out. Only taking turns has to be kept from: one that held the lease, and lost it,
-    /// does not claim it again before `quietTime` after its last order.
+    /// The receiver of the orders rejects fencing tokens below the highest that it has seen. Then there is no need to wait for a
+    /// former holder, as its late orders have no effect. Holders must only not alternate: one that held the lease and lost it
+    /// doesn't claim it again before `quietTime` has passed since its last order.
     bool isFenced { false };
 };
 
-/// Who holds a lease: one process of one daemon.
+/// The holder of a lease: one process of one daemon.
 struct StoreLeaseHolder {
     std::string daemon;
     std::uint64_t incarnation { 0 };
@@ -32,56 +32,56 @@
 
 /// The newest claim of a lease, as read from the store.
 struct StoreLeaseClaim {
-    std::uint64_t offset { 0 }; ///< Also its fencing number.
+    std::uint64_t offset { 0 }; ///< Also its fencing token.
     StoreLeaseHolder holder;
 
     bool operator==(StoreLeaseClaim const&) const = default;
 };
 
-/// A claim to append, if the topic still ends there.
+/// A claim to append on condition that the topic still ends at `expectedNext`.
 struct StoreLeaseAppend {
     std::uint64_t expectedNext { 0 };
 };
 
-/// One daemon's part in a lease whose claims are conditional appends to the platform's store: the store decides between
-/// racing claims, and the offset of a claim is its fencing number. A claim is made only when there is something to
-/// order, and holds for a short time, so a lease costs nothing while nothing changes. Time is the boot clock's: a
-/// holder that was suspended finds its time over. Pure and not thread-safe.
+/// Manages, for one daemon, a lease whose claims are conditional appends to the platform's store: the store arbitrates
+/// between concurrent claims, and the offset of a claim is its fencing token. A claim is made only when there are orders to
+/// send, and is valid for a short time, so an idle lease costs nothing. Time is the boot clock's, so that the claim of a
+/// holder that was suspended has expired. Does no I/O and is not thread-safe.
 class StoreLease {
 public:
     using Time = Core::BootClock::time_point;
 
-    /// `startedAt`: when this process started. Until then a former process of the same daemon may have ordered.
+    /// `startedAt`: when this process started. Until then an earlier process of the same daemon may have sent orders.
     StoreLease(StoreLeaseSettings const&, StoreLeaseHolder self, Time startedAt);
 
-    /// Takes the newest claim (none: there never was one) and the end of its topic, as read at `now`.
+    /// Takes the newest claim (none if there never was one) and the end offset of its topic, as read at `now`.
     void observe(std::optional<StoreLeaseClaim> const&, std::uint64_t next, Time now);
 
-    /// Returns a claim to append now, when this daemon wants to order, may not yet, and the lease is free.
+    /// Returns a claim to append now if this daemon has orders to send, may not send them yet, and the lease is free.
     std::optional<StoreLeaseAppend> poll(bool wantsToOrder, Time now);
 
-    /// Returns a claim to append now without a read of the newest one, while that was this process's own as far as it knows.
-    std::optional<StoreLeaseAppend> pollOwn(Time now);
+    /// As `poll`, but without a prior read: only if the newest known claim is its own and its last append succeeded.
+    std::optional<StoreLeaseAppend> pollReclaim(Time now);
 
-    /// The append ended: it stands at `offset`.
+    /// Handles an append that succeeded at `offset`.
     void claimAppended(std::uint64_t offset);
 
-    /// The append ended: the topic has other records behind its end, or nothing was done.
+    /// Handles an append that failed without effect, as when the topic has grown past the expected end.
     void claimFailed();
 
-    /// The append ended without an answer: only reading tells.
+    /// Handles an append without a response: only a read shows whether it succeeded.
     void claimUnknown();
 
-    /// An order was written, or may have been, at `now`.
-    void noteOrder(Time now) { m_orderedAt = now; }
+    /// Records that an order was written, or may have been, at `now`.
+    void recordOrder(Time now) { m_orderedAt = now; }
 
-    /// An engine refused an order, or another's order came between: whoever gave it has the lease.
+    /// Handles a rejected order or an intervening order of another daemon: that daemon holds the lease.
     void loseAuthority(Time now);
 
-    /// Whether an order may be written now. To be asked right before each write.
+    /// Returns whether an order may be written now. Must be checked immediately before each write.
     bool mayOrder(Time now) const;
 
-    /// The number to order under, while the newest claim is this process's.
+    /// Returns the fencing token for orders while the newest claim is this process's.
     std::optional<std::uint64_t> fencing() const { return m_fencing; }
 
 private:
@@ -94,12 +94,12 @@
     std::uint64_t m_next { 0 };
     bool m_isRead { false };
     bool m_isEndKnown { false }; ///< The topic ended at `m_next` when this process last appended to it.
-    Time m_changedAt; ///< When the newest claim was first read.
-    bool m_isClaiming { false }; ///< An append is under way or its outcome is not known.
-    Time m_begunAt; ///< Of the last append.
+    Time m_changedAt; ///< When the newest claim was first read or, if it is this process's own, sent.
+    bool m_isClaimPending { false }; ///< An append is in progress or its outcome is unknown.
+    Time m_appendStartedAt; ///< When the last append was started.
     std::optional<std::uint64_t> m_fencing;
     std::optional<Time> m_blockedUntil;
-    std::optional<Time> m_orderedAt; ///< This process's last order.
+    std::optional<Time> m_orderedAt; ///< When this process last wrote an order.
 };
 
 }
--- a/Libraries/LibAuthority/Time.h
+++ b/Libraries/LibAuthority/Time.h
@@ -6,12 +6,12 @@
 
 namespace Authority {
 
-/// A reading of the boot clock: a VM that is suspended must not wake with a lease that others hold by then. Functions get it
-/// as an argument and never read it themselves.
+/// A time of the boot clock, which includes suspension: a VM must not resume with a lease that another daemon holds by then.
+/// Functions take the current time as an argument and never read the clock themselves.
 using Time = Core::BootClock::time_point;
 using Duration = Core::BootClock::duration;
 
-/// Returns whether `interval` has passed since `last`, or there was no last time. Thread-safe.
+/// Returns whether `interval` has passed since `last`, or there is no `last`. Thread-safe.
 inline bool isDue(std::optional<Time> const& last, Time now, Duration interval)
 {
     return !last || now - *last >= interval;
--- a/Libraries/LibAuthority/TokenBucket.cpp
+++ b/Libraries/LibAuthority/TokenBucket.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double secondsPerMinute = 60;
-/// Keeps a token that is due from being missed by a rounding error.
+/// Prevents a rounding error from withholding a token that is due.
 constexpr double roundingSlack = 1e-9;
 
 }
@@ -21,7 +21,7 @@
     assert(perMinute >= 0 && burst >= 1);
 }
 
-bool TokenBucket::tryTake(Time now)
+bool TokenBucket::tryConsume(Time now)
 {
     refill(now);
     if (m_tokens < 1 - roundingSlack)
@@ -30,7 +30,7 @@
     return true;
 }
 
-void TokenBucket::giveBack(Time now)
+void TokenBucket::refund(Time now)
 {
     refill(now);
     m_tokens = std::min(m_burst, m_tokens + 1);
@@ -64,7 +64,7 @@
     m_refilledAt = std::max(m_refilledAt, now);
 }
 
-double weightShare(double perMinute, std::size_t poolEngines, std::size_t allEngines)
+double loadBudgetShare(double perMinute, std::size_t poolEngines, std::size_t allEngines)
 {
     return allEngines == 0 ? 0 : perMinute * static_cast<double>(poolEngines) / static_cast<double>(allEngines);
 }
--- a/Libraries/LibAuthority/TokenBucket.h
+++ b/Libraries/LibAuthority/TokenBucket.h
@@ -5,23 +5,23 @@
 
 namespace Authority {
 
-/// A budget of loads at the weight store: at most `burst` at once and `perMinute` over time. Pure and not
+/// Rate limit for loads from the weight store: at most `burst` at once and `perMinute` on average. Does no I/O and is not
 /// thread-safe.
 class TokenBucket {
 public:
-    /// Starts full at `now`. Preconditions: `perMinute` >= 0; `burst` >= 1.
+    /// Creates a full bucket at `now`. Preconditions: `perMinute` >= 0; `burst` >= 1.
     TokenBucket(double perMinute, double burst, Time now);
 
-    /// Takes one token if there is one.
-    bool tryTake(Time now);
+    /// Consumes one token if one is available.
+    bool tryConsume(Time now);
 
-    /// Puts back a token whose load was not ordered after all.
-    void giveBack(Time now);
+    /// Returns a token whose load was not ordered after all.
+    void refund(Time now);
 
     /// Changes the rate from `now` on, as when this holder's share changes. Precondition: `perMinute` >= 0.
     void setRate(double perMinute, Time now);
 
-    /// Returns how long until the next token; `Duration::max()` when the rate is 0.
+    /// Returns the time until the next token; `Duration::max()` when the rate is 0.
     Duration untilNext(Time now) const;
 
 private:
@@ -34,8 +34,8 @@
     Time m_refilledAt;
 };
 
-/// Returns a pool's share of the loads a minute that the weight store allows: by its part of all engines, so
-/// that the holders of all pools keep within the budget without speaking to each other. Thread-safe.
-double weightShare(double perMinute, std::size_t poolEngines, std::size_t allEngines);
+/// Returns a pool's share of the loads per minute that the weight store allows, proportional to its number of engines. So
+/// the holders of all pools stay within the budget without communicating. Thread-safe.
+double loadBudgetShare(double perMinute, std::size_t poolEngines, std::size_t allEngines);
 
 }
--- a/Libraries/LibDaemon/AuthorityAgent.cpp
+++ b/Libraries/LibDaemon/AuthorityAgent.cpp
@@ -184,7 +184,7 @@
 
 void AuthorityAgent::applyWish(Pool&, Engine& engine)
 {
-    Authority::EngineWish wish;
+    Authority::DesiredEngineState wish;
     State::GroupDecision const& decision = engine.managed.decision;
     if (!engine.managed.isDrained) {
         wish.model = decision.model;
@@ -197,7 +197,7 @@
                 wish.role = role;
         }
     }
-    engine.orders.setWish(wish);
+    engine.orders.setDesiredState(wish);
 }
 
 std::vector<Authority::Router> AuthorityAgent::routers() const
--- a/Libraries/LibDaemon/AuthorityOrders.cpp
+++ b/Libraries/LibDaemon/AuthorityOrders.cpp
@@ -54,11 +54,11 @@
     order.fencing = action.fencing;
     if (action.kind != Authority::EngineActionKind::Order)
         return order;
-    if (action.wish.role)
-        order.role = std::string(Core::nameOf(State::roleNames, *action.wish.role));
-    order.model = action.wish.model;
-    order.adapter = action.wish.adapter;
-    order.version = action.wish.version;
+    if (action.desired.role)
+        order.role = std::string(Core::nameOf(State::roleNames, *action.desired.role));
+    order.model = action.desired.model;
+    order.adapter = action.desired.adapter;
+    order.version = action.desired.version;
     return order;
 }
 
@@ -124,7 +124,7 @@
     switch (action.kind) {
     case Authority::EngineActionKind::Raise:
     case Authority::EngineActionKind::Order:
-        Core::logEvent(Core::Severity::Info, Core::Event::OrderSent, { { "pool", pool.name }, { "engine", name }, { "kind", std::string(Core::nameOf(Authority::engineActionKindNames, action.kind)) }, { "order", action.orderId }, { "fencing", std::to_string(action.fencing) }, { "role", action.wish.role ? std::string(Core::nameOf(State::roleNames, *action.wish.role)) : "-" }, { "model", action.wish.model.value_or("-") }, { "version", action.wish.version.value_or("-") } });
+        Core::logEvent(Core::Severity::Info, Core::Event::OrderSent, { { "pool", pool.name }, { "engine", name }, { "kind", std::string(Core::nameOf(Authority::engineActionKindNames, action.kind)) }, { "order", action.orderId }, { "fencing", std::to_string(action.fencing) }, { "role", action.desired.role ? std::string(Core::nameOf(State::roleNames, *action.desired.role)) : "-" }, { "model", action.desired.model.value_or("-") }, { "version", action.desired.version.value_or("-") } });
         boost::asio::co_spawn(
             m_context, [this, pool = pool.name, name, action, endpoint = engine.managed.endpoint] { return writeOrder(pool, name, action, endpoint); }, boost::asio::detached);
         return;
@@ -152,15 +152,15 @@
     };
     Platform::EngineOrder order = toOrder(action);
     Core::Result<Platform::OrderReply> reply = co_await m_engineControl.order(endpoint, order, std::move(mayWrite));
-    Authority::OrderAnswer answer = Authority::OrderAnswer::Unknown;
+    Authority::OrderOutcome answer = Authority::OrderOutcome::Unknown;
     if (reply.has_value() && reply.value().isAccepted)
-        answer = Authority::OrderAnswer::Accepted;
+        answer = Authority::OrderOutcome::Accepted;
     else if (reply.has_value())
-        answer = reply.value().newerFencing > action.fencing ? Authority::OrderAnswer::HigherNumber : Authority::OrderAnswer::Refused;
+        answer = reply.value().newerFencing > action.fencing ? Authority::OrderOutcome::StaleFencing : Authority::OrderOutcome::Refused;
     std::string why = reply.has_error() ? reply.error().message : "-";
     Core::logEvent(Core::Severity::Info, Core::Event::OrderAnswered, { { "pool", pool }, { "engine", engine }, { "order", action.orderId }, { "answer", reply.has_value() ? (reply.value().isAccepted ? "accepted" : "refused") : "unknown" }, { "error", why } });
     if (Engine* it = findEngine(pool, engine))
-        it->orders.answerOrder(action.orderId, answer, Clock::now());
+        it->orders.recordOrderOutcome(action.orderId, answer, Clock::now());
 }
 
 boost::asio::awaitable<void> AuthorityAgent::readState(std::string pool, std::string engine, boost::asio::ip::tcp::endpoint endpoint)
--- a/Libraries/LibDaemon/DutyCalls.cpp
+++ b/Libraries/LibDaemon/DutyCalls.cpp
@@ -57,10 +57,10 @@
     std::optional<std::uint64_t> number = fencing();
     if (!number)
         co_return Reply(Core::makeError(Core::ErrorCode::LostAuthority, "the lease's time is over"));
-    lease.noteOrder(Clock::now());
+    lease.recordOrder(Clock::now());
     Platform::DutyHolder holder { m_leases.self().daemon, *number };
     Reply reply = co_await send(std::move(holder), [this, number] { return fencing() == number; });
-    lease.noteOrder(Clock::now());
+    lease.recordOrder(Clock::now());
     co_return reply;
 }
 
--- a/Libraries/LibDaemon/RoleKeeper.cpp
+++ b/Libraries/LibDaemon/RoleKeeper.cpp
@@ -189,9 +189,9 @@
     sent.incarnation = target;
     sent.expectedAccepted = state.value().acceptedOrders;
     Core::logEvent(Core::Severity::Info, Core::Event::OrderSent, { { "pool", order.service }, { "engine", target }, { "role", *sent.role }, { "fencing", std::to_string(sent.fencing) }, { "expected", std::to_string(state.value().acceptedOrders) } });
-    lease.noteOrder(Clock::now());
+    lease.recordOrder(Clock::now());
     Core::Result<Platform::OrderReply> reply = co_await m_engines.order(order.endpoint, sent, [&lease, fencing = sent.fencing] { return lease.mayOrder(Clock::now()) && lease.fencing() == fencing; });
-    lease.noteOrder(Clock::now());
+    lease.recordOrder(Clock::now());
     bool isUnknown = reply.has_error() && reply.error().verdict != Core::Verdict::NotRun;
     std::string answer = reply.has_value() ? (reply.value().isAccepted ? "accepted" : "refused") : "unknown";
     Core::logEvent(Core::Severity::Info, Core::Event::OrderAnswered, { { "pool", order.service }, { "engine", target }, { "answer", answer }, { "error", reply.has_error() ? reply.error().message : "-" } });
--- a/Libraries/LibDaemon/StoreLeases.cpp
+++ b/Libraries/LibDaemon/StoreLeases.cpp
@@ -71,7 +71,7 @@
 // store refuses the append if there is another.
 boost::asio::awaitable<void> StoreLeases::claim(std::string name)
 {
-    std::optional<Authority::StoreLeaseAppend> append = of(name).pollOwn(Clock::now());
+    std::optional<Authority::StoreLeaseAppend> append = of(name).pollReclaim(Clock::now());
     if (!append) {
         Core::Result<void> read = co_await readClaim(name);
         if (read.has_error()) {
--- a/Tests/LibAuthority/FakeEngine.h
+++ b/Tests/LibAuthority/FakeEngine.h
@@ -6,7 +6,7 @@
 
 namespace Authority {
 
-/// An engine that drains, changes, crashes and checks numbers, or not, when it is told to.
+/// An engine that changes and crashes under the control of a test, with or without fencing checks.
 struct FakeEngine {
     bool checksFencing { false };
     std::uint64_t fencing { 0 };
@@ -14,9 +14,9 @@
     State::Role role { State::Role::Mixed };
     std::string model { "m1" };
     EnginePhase phase { EnginePhase::Serving };
-    EngineWish target; ///< Of the change under way.
+    DesiredEngineState target; ///< Desired state of the change in progress.
     std::uint32_t running { 0 };
-    std::vector<std::uint64_t> numbersInEffect; ///< Of each order that changed something or was about to.
+    std::vector<std::uint64_t> appliedFencingTokens; ///< Of each order that changed the engine or started to.
     std::size_t loads { 0 };
 
     EngineState read(Time now) const
@@ -24,21 +24,21 @@
         return { std::to_string(incarnation), fencing, role, model, "", "v1", phase, running, now, now };
     }
 
-    OrderAnswer write(EngineAction const& action)
+    OrderOutcome write(EngineAction const& action)
     {
         if (checksFencing && action.fencing < fencing)
-            return OrderAnswer::HigherNumber;
+            return OrderOutcome::StaleFencing;
         if (checksFencing)
             fencing = action.fencing;
-        if (action.kind != EngineActionKind::Order || isMet(action.wish, read({})))
-            return OrderAnswer::Accepted;
-        numbersInEffect.push_back(action.fencing);
-        target = action.wish;
+        if (action.kind != EngineActionKind::Order || isSatisfied(action.desired, read({})))
+            return OrderOutcome::Accepted;
+        appliedFencingTokens.push_back(action.fencing);
+        target = action.desired;
         phase = EnginePhase::Changing;
-        return OrderAnswer::Accepted;
+        return OrderOutcome::Accepted;
     }
 
-    /// The change under way comes to its end.
+    /// Completes the change in progress.
     void finish()
     {
         if (phase == EnginePhase::Serving)
@@ -49,7 +49,7 @@
         phase = EnginePhase::Serving;
     }
 
-    /// It restarts as it was before the change; the highest number that it saw is kept.
+    /// Restarts with the state from before the change; the highest fencing token that it has seen is kept.
     void crash()
     {
         ++incarnation;
--- a/Tests/LibAuthority/World.h
+++ b/Tests/LibAuthority/PoolSimulation.h
@@ -10,9 +10,9 @@
 
 namespace Authority {
 
-/// Daemons with one pool of two engines, one that checks numbers and one that doesn't, and a log between them.
-/// Everything happens when a test says so: the clock is moved by hand, appends and writes wait until delivered.
-struct World {
+/// Simulates daemons with a shared log and one pool of two engines, of which the first checks fencing tokens. The test
+/// controls every step: it advances the clock, and appends and writes wait until it delivers them.
+struct PoolSimulation {
     static constexpr std::size_t engineCount = 2;
 
     struct Write {
@@ -20,26 +20,26 @@
         EngineAction action;
     };
 
-    /// One process, from its start to its end.
+    /// One daemon process.
     struct Daemon {
         Holder self;
         PoolOrders pool;
         LeaseFold fold;
         ClosedEngines closed;
-        std::deque<Write> held; ///< Writes that were checked and not yet made.
+        std::deque<Write> pendingWrites; ///< Writes that passed their lease check and were not sent yet.
         bool isPaused { false };
     };
 
     Time now;
     std::vector<std::string> log;
     bool isLogDown { false };
-    std::vector<std::string> appends; ///< On their way.
+    std::vector<std::string> appends; ///< In flight.
     std::vector<FakeEngine> engines { engineCount };
     std::vector<Daemon> daemons;
     std::uint64_t started { 0 };
-    EngineWish wish { State::Role::Decode, std::nullopt, std::nullopt, std::nullopt };
+    DesiredEngineState desired { State::Role::Decode, std::nullopt, std::nullopt, std::nullopt };
 
-    explicit World(std::size_t daemonCount)
+    explicit PoolSimulation(std::size_t daemonCount)
     {
         engines[0].checksFencing = true;
         for (std::size_t n = 0; n < daemonCount; ++n)
@@ -49,7 +49,7 @@
     static PoolSettings settings()
     {
         PoolSettings settings;
-        settings.changesAtOnce = engineCount;
+        settings.maximumConcurrentChanges = engineCount;
         settings.loadsPerMinute = 600;
         return settings;
     }
@@ -65,7 +65,7 @@
         return daemon;
     }
 
-    /// The process is killed, and another one takes its place.
+    /// Kills the daemon's process and starts another in its place.
     void restart(std::size_t n) { daemons[n] = start(n); }
 
     void read(std::size_t n, std::size_t records = 1000)
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The daemon's control thread runs once: it reads at once, and holds its appends and writes.
+    /// Runs the daemon's control thread once: reads are done at once, appends and writes are queued.
     void poll(std::size_t n)
     {
         Daemon& daemon = daemons[n];
@@ -89,7 +89,7 @@
                 daemon.pool.observeAnswer(other.self.address, other.self.incarnation, now);
         }
         for (std::size_t k = 0; k < engineCount; ++k)
-            daemon.pool.setWish(std::to_string(k), wish);
+            daemon.pool.setDesiredState(std::to_string(k), desired);
         for (PoolAction const& action : daemon.pool.poll(now)) {
             if (LeaseRecord const* record = std::get_if<LeaseRecord>(&action))
                 appends.push_back(encode(*record));
@@ -106,7 +106,7 @@
         else if (command.action.kind == EngineActionKind::Close)
             close(daemon, command);
         else if (command.action.kind != EngineActionKind::Open)
-            daemon.held.push_back({ k, command.action });
+            daemon.pendingWrites.push_back({ k, command.action });
     }
 
     std::vector<Router> routers() const
@@ -126,19 +126,19 @@
         }
     }
 
-    /// The oldest held write is made, with no check before it: that was done when it was given.
-    void write(std::size_t n, bool losesReply = false)
+    /// Sends the oldest pending write without another lease check: it was checked when it was queued.
+    void write(std::size_t n, bool isReplyLost = false)
     {
         Daemon& daemon = daemons[n];
-        if (daemon.isPaused || daemon.held.empty())
+        if (daemon.isPaused || daemon.pendingWrites.empty())
             return;
-        Write write = daemon.held.front();
-        daemon.held.pop_front();
-        OrderAnswer answer = engines[write.engine].write(write.action);
-        daemon.pool.answerOrder(std::to_string(write.engine), write.action.orderId, losesReply ? OrderAnswer::Unknown : answer, now);
+        Write write = daemon.pendingWrites.front();
+        daemon.pendingWrites.pop_front();
+        OrderOutcome outcome = engines[write.engine].write(write.action);
+        daemon.pool.recordOrderOutcome(std::to_string(write.engine), write.action.orderId, isReplyLost ? OrderOutcome::Unknown : outcome, now);
     }
 
-    /// The oldest append takes effect.
+    /// Adds the append at index `n` of those in flight to the log.
     void deliver(std::size_t n = 0)
     {
         if (isLogDown || n >= appends.size())
@@ -147,7 +147,7 @@
         appends.erase(appends.begin() + static_cast<std::ptrdiff_t>(n));
     }
 
-    /// Everything goes on for `seconds` seconds, for those that are not paused.
+    /// Runs all daemons that are not paused, the log and the engines for `seconds` seconds.
     void run(int seconds)
     {
         while (seconds-- > 0) {
@@ -179,12 +179,12 @@
         return n;
     }
 
-    /// Whether all engines are as wanted.
-    bool isAsWanted() const
+    /// Returns whether all engines are in the desired state.
+    bool isConverged() const
     {
         bool all = true;
         for (FakeEngine const& engine : engines)
-            all = all && engine.phase == EnginePhase::Serving && isMet(wish, engine.read(now));
+            all = all && engine.phase == EnginePhase::Serving && isSatisfied(desired, engine.read(now));
         return all;
     }
 };
--- a/Tests/LibAuthority/TestEngineOrders.cpp
+++ b/Tests/LibAuthority/TestEngineOrders.cpp
@@ -7,18 +7,18 @@
 
 using std::chrono::seconds;
 
-/// A holder's orders to one engine, with everything around it answering at once unless it is told not to.
+/// A holder's orders to one engine. The engine and the router respond at once unless a test disables that.
 struct EngineOrdersTest : testing::Test {
     Time now;
     FakeEngine engine;
     EngineOrders orders { OrderSettings() };
-    TokenBucket weights { 60, 1, Time() };
+    TokenBucket loadBudget { 60, 1, Time() };
     bool mayOrder { true };
     bool mayStart { true };
-    bool answersClose { true };
-    std::optional<OrderAnswer> replyInstead; ///< What the holder hears of a write that had its effect.
+    bool acknowledgesClose { true };
+    std::optional<OrderOutcome> replyOverride; ///< Outcome reported to the holder for a write that took effect.
     std::vector<EngineActionKind> writes;
-    std::size_t openings { 0 };
+    std::size_t openCount { 0 };
     Router router { "entry-b", "b1" };
 
     EngineOrdersTest() { orders.setRouters({ router }); }
@@ -28,18 +28,18 @@
         if (action.kind == EngineActionKind::Read) {
             orders.observe(engine.read(now), now);
         } else if (action.kind == EngineActionKind::Close) {
-            if (answersClose)
+            if (acknowledgesClose)
                 orders.acknowledgeClose(router, action.round, now);
         } else if (action.kind == EngineActionKind::Open) {
-            ++openings;
+            ++openCount;
         } else {
             writes.push_back(action.kind);
-            OrderAnswer answer = engine.write(action);
-            orders.answerOrder(action.orderId, replyInstead.value_or(answer), now);
+            OrderOutcome outcome = engine.write(action);
+            orders.recordOrderOutcome(action.orderId, replyOverride.value_or(outcome), now);
         }
     }
 
-    std::optional<EngineAction> poll() { return orders.poll(now, mayOrder, mayStart, weights); }
+    std::optional<EngineAction> poll() { return orders.poll(now, mayOrder, mayStart, loadBudget); }
 
     void run(int n)
     {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Runs until an order is to be written, and returns it unwritten.
+    /// Runs until an order is due, and returns it without sending it.
     EngineAction runUntilOrder()
     {
         for (int n = 0; n < 100; ++n, now += seconds(1)) {
@@ -64,23 +64,23 @@
                     perform(*action);
             }
         }
-        ADD_FAILURE() << "no order came";
+        ADD_FAILURE() << "no order became due";
         return {};
     }
 
-    void want(State::Role role) { orders.setWish({ role, std::nullopt, std::nullopt, std::nullopt }); }
-    void wantModel(std::string const& model) { orders.setWish({ std::nullopt, model, std::nullopt, std::nullopt }); }
+    void setDesiredRole(State::Role role) { orders.setDesiredState({ role, std::nullopt, std::nullopt, std::nullopt }); }
+    void setDesiredModel(std::string const& model) { orders.setDesiredState({ std::nullopt, model, std::nullopt, std::nullopt }); }
 };
 
 FormerHolder const former { { "entry-a", "10.0.0.1:1", "a1" }, 3 };
 
 }
 
-TEST_F(EngineOrdersTest, RaisesTheNumberThenReadsThenOrders)
+TEST_F(EngineOrdersTest, RaisesTheFencingTokenThenReadsThenOrders)
 {
     engine.checksFencing = true;
     orders.gainAuthority(5, true, { former });
-    want(State::Role::Decode);
+    setDesiredRole(State::Role::Decode);
     run(1);
     EXPECT_EQ(writes, (std::vector<EngineActionKind> { EngineActionKind::Raise }));
     EXPECT_EQ(engine.fencing, 5U);
@@ -98,13 +98,13 @@
     engine.checksFencing = true;
     engine.fencing = 9;
     orders.gainAuthority(5, true, {});
-    want(State::Role::Decode);
+    setDesiredRole(State::Role::Decode);
     run(20);
     EXPECT_TRUE(orders.isRefused());
     EXPECT_EQ(orders.phase(), OrderPhase::NoAuthority);
     orders.gainAuthority(5, true, {});
     run(20);
-    EXPECT_EQ(writes.size(), 1U) << "it tries no more under this number";
+    EXPECT_EQ(writes.size(), 1U) << "it sends no more orders with this fencing token";
     orders.gainAuthority(10, true, {});
     run(10);
     EXPECT_EQ(engine.fencing, 10U);
@@ -113,14 +113,14 @@
 TEST_F(EngineOrdersTest, WithoutChecksNothingIsOrderedBeforeTheEvidence)
 {
     orders.gainAuthority(5, false, { former });
-    want(State::Role::Decode);
+    setDesiredRole(State::Role::Decode);
     run(3000);
-    EXPECT_TRUE(writes.empty()) << "no clock is evidence";
+    EXPECT_TRUE(writes.empty()) << "elapsed time is no evidence";
     EXPECT_EQ(orders.phase(), OrderPhase::AwaitingEvidence);
     EXPECT_EQ(orders.block(), (Block { BlockReason::FormerHolder, { "entry-a" } }));
     orders.setUnsettled({});
     run(2);
-    EXPECT_TRUE(writes.empty()) << "two equal reads are due first";
+    EXPECT_TRUE(writes.empty()) << "two equal reads are required first";
     run(10);
     EXPECT_EQ(writes, (std::vector<EngineActionKind> { EngineActionKind::Order }));
 }
@@ -128,7 +128,7 @@
 TEST_F(EngineOrdersTest, AnOrderInTheEnginesBufferIsAwaitedByEqualReads)
 {
     orders.gainAuthority(5, false, {});
-    want(State::Role::Mixed);
+    setDesiredRole(State::Role::Mixed);
     run(1);
     engine.role = State::Role::Prefill;
     run(2);
@@ -137,16 +137,16 @@
     EXPECT_NE(orders.phase(), OrderPhase::Reading);
 }
 
-TEST_F(EngineOrdersTest, ADaemonThatHasNotClosedBlocksAndIsNamed)
+TEST_F(EngineOrdersTest, ADaemonThatHasNotClosedTheEngineBlocksTheChangeAndIsReported)
 {
-    answersClose = false;
+    acknowledgesClose = false;
     orders.gainAuthority(5, false, {});
-    want(State::Role::Decode);
+    setDesiredRole(State::Role::Decode);
     run(30);
     EXPECT_TRUE(writes.empty());
     EXPECT_EQ(orders.block(), (Block { BlockReason::RoutersUnreachable, { "entry-b" } }));
-    EXPECT_FALSE(orders.isChanging()) << "meanwhile the others use the engine again";
-    answersClose = true;
+    EXPECT_FALSE(orders.isChanging()) << "the engine is reopened during the backoff";
+    acknowledgesClose = true;
     run(40);
     EXPECT_EQ(writes.size(), 1U);
 }
@@ -155,7 +155,7 @@
 {
     engine.running = 1;
     orders.gainAuthority(5, false, {});
-    want(State::Role::Decode);
+    setDesiredRole(State::Role::Decode);
     run(300);
     EXPECT_TRUE(writes.empty());
     EXPECT_EQ(orders.block(), (Block { BlockReason::RequestsRunning, {} }));
@@ -164,10 +164,10 @@
     EXPECT_EQ(writes.size(), 1U);
 }
 
-TEST_F(EngineOrdersTest, AReportOlderThanTheClosingDoesNotCount)
+TEST_F(EngineOrdersTest, ALoadReportOlderThanTheCloseDoesNotCount)
 {
     orders.gainAuthority(5, false, {});
-    want(State::Role::Decode);
+    setDesiredRole(State::Role::Decode);
     for (int n = 0; n < 60; ++n) {
         std::optional<EngineAction> action = poll();
         if (action && action->kind == EngineActionKind::Read && orders.phase() == OrderPhase::Closing) {
@@ -184,16 +184,16 @@
     EXPECT_EQ(orders.block(), (Block { BlockReason::RequestsRunning, {} }));
 }
 
-TEST_F(EngineOrdersTest, ALostReplyAfterTheEffectIsReadBack)
+TEST_F(EngineOrdersTest, AnOrderWhoseResponseWasLostIsReadBack)
 {
     orders.gainAuthority(5, false, {});
-    want(State::Role::Decode);
-    replyInstead = OrderAnswer::Unknown;
+    setDesiredRole(State::Role::Decode);
+    replyOverride = OrderOutcome::Unknown;
     run(10);
     EXPECT_TRUE(orders.hasUnansweredOrder());
     engine.finish();
     run(10);
-    EXPECT_EQ(writes.size(), 1U) << "the order was in effect already";
+    EXPECT_EQ(writes.size(), 1U) << "the order had already taken effect";
     EXPECT_FALSE(orders.hasUnansweredOrder());
     EXPECT_EQ(orders.phase(), OrderPhase::Settled);
     EXPECT_EQ(engine.role, State::Role::Decode);
@@ -202,24 +202,24 @@
 TEST_F(EngineOrdersTest, AnOrderThatMayYetArriveIsNotOvertakenByAnother)
 {
     orders.gainAuthority(5, false, {});
-    want(State::Role::Decode);
+    setDesiredRole(State::Role::Decode);
     EngineAction lost = runUntilOrder();
-    orders.answerOrder(lost.orderId, OrderAnswer::Unknown, now);
-    want(State::Role::Prefill);
+    orders.recordOrderOutcome(lost.orderId, OrderOutcome::Unknown, now);
+    setDesiredRole(State::Role::Prefill);
     EngineAction again = runUntilOrder();
-    EXPECT_EQ(again.orderId, lost.orderId) << "the same order is tried again";
-    EXPECT_EQ(again.wish.role, State::Role::Decode);
+    EXPECT_EQ(again.orderId, lost.orderId) << "the same order is retried";
+    EXPECT_EQ(again.desired.role, State::Role::Decode);
     perform(again);
     engine.finish();
     run(1);
     EXPECT_EQ(orders.phase(), OrderPhase::Settled) << "the next change waits";
-    EXPECT_TRUE(orders.hasUnansweredOrder()) << "the first try may still arrive";
+    EXPECT_TRUE(orders.hasUnansweredOrder()) << "the first attempt may still arrive";
     orders.loseAuthority();
     run(5);
     EXPECT_FALSE(orders.hasUnansweredOrder());
 }
 
-TEST_F(EngineOrdersTest, ANewNumberWaitsForAnOrderUnderTheOldOne)
+TEST_F(EngineOrdersTest, ANewFencingTokenWaitsForAnOrderUnderTheOldOne)
 {
     for (bool checks : { true, false }) {
         engine = FakeEngine();
@@ -227,19 +227,19 @@
         orders = EngineOrders(OrderSettings());
         orders.setRouters({ router });
         orders.gainAuthority(5, checks, {});
-        want(State::Role::Decode);
+        setDesiredRole(State::Role::Decode);
         EngineAction lost = runUntilOrder();
-        orders.answerOrder(lost.orderId, OrderAnswer::Unknown, now);
+        orders.recordOrderOutcome(lost.orderId, OrderOutcome::Unknown, now);
         orders.loseAuthority();
         orders.gainAuthority(8, checks, {});
-        want(State::Role::Prefill);
+        setDesiredRole(State::Role::Prefill);
         writes.clear();
         run(2);
         EXPECT_TRUE(writes.empty());
-        EXPECT_FALSE(orders.isChanging()) << "nor is the engine closed for it";
+        EXPECT_FALSE(orders.isChanging()) << "the engine must not be closed either";
         run(10);
         EXPECT_EQ(writes.back(), EngineActionKind::Order);
-        EXPECT_EQ(engine.numbersInEffect, (std::vector<std::uint64_t> { 8 }));
+        EXPECT_EQ(engine.appliedFencingTokens, (std::vector<std::uint64_t> { 8 }));
     }
 }
 
@@ -247,27 +247,27 @@
 {
     engine.running = 1;
     orders.gainAuthority(5, false, {});
-    want(State::Role::Decode);
+    setDesiredRole(State::Role::Decode);
     run(5);
     ASSERT_EQ(orders.phase(), OrderPhase::Closing);
     mayOrder = false;
     run(1);
     EXPECT_EQ(orders.phase(), OrderPhase::Settled);
-    EXPECT_EQ(openings, 1U);
+    EXPECT_EQ(openCount, 1U);
     mayOrder = true;
     run(1);
     ASSERT_EQ(orders.phase(), OrderPhase::Closing);
-    want(State::Role::Mixed);
+    setDesiredRole(State::Role::Mixed);
     run(1);
     EXPECT_EQ(orders.phase(), OrderPhase::Settled);
-    EXPECT_EQ(openings, 2U);
+    EXPECT_EQ(openCount, 2U);
     EXPECT_TRUE(writes.empty());
 }
 
-TEST_F(EngineOrdersTest, AChangeIsResumedAfterACrashHalfWay)
+TEST_F(EngineOrdersTest, AChangeIsResumedAfterACrash)
 {
     orders.gainAuthority(5, false, {});
-    wantModel("m2");
+    setDesiredModel("m2");
     run(10);
     ASSERT_EQ(engine.phase, EnginePhase::Changing);
     engine.crash();
@@ -280,36 +280,36 @@
     EXPECT_EQ(orders.phase(), OrderPhase::Settled);
 }
 
-TEST_F(EngineOrdersTest, LoadsKeepToTheBudget)
+TEST_F(EngineOrdersTest, LoadsStayWithinTheBudget)
 {
-    weights = TokenBucket(0, 1, now);
-    ASSERT_TRUE(weights.tryTake(now));
+    loadBudget = TokenBucket(0, 1, now);
+    ASSERT_TRUE(loadBudget.tryConsume(now));
     orders.gainAuthority(5, false, {});
-    wantModel("m2");
+    setDesiredModel("m2");
     run(100);
     EXPECT_EQ(orders.block(), (Block { BlockReason::WeightBudget, {} }));
-    want(State::Role::Decode);
+    setDesiredRole(State::Role::Decode);
     run(10);
-    EXPECT_EQ(writes.size(), 1U) << "a role needs no load";
+    EXPECT_EQ(writes.size(), 1U) << "a role change needs no load";
     engine.finish();
-    wantModel("m2");
-    weights.setRate(60, now);
+    setDesiredModel("m2");
+    loadBudget.setRate(60, now);
     run(10);
     EXPECT_EQ(writes.size(), 2U);
-    weights.setRate(0, now);
-    while (weights.tryTake(now)) { }
+    loadBudget.setRate(0, now);
+    while (loadBudget.tryConsume(now)) { }
     engine.crash();
     run(20);
-    EXPECT_EQ(writes.size(), 2U) << "the load after a crash is a load like any other";
+    EXPECT_EQ(writes.size(), 2U) << "a repeated load after a crash counts against the budget";
     EXPECT_EQ(orders.block(), (Block { BlockReason::WeightBudget, {} }));
 }
 
-TEST_F(EngineOrdersTest, NothingIsOrderedWithoutTheLeasesTime)
+TEST_F(EngineOrdersTest, NoOrderIsSentWithoutAValidLease)
 {
     engine.checksFencing = true;
     mayOrder = false;
     orders.gainAuthority(5, true, {});
-    want(State::Role::Decode);
+    setDesiredRole(State::Role::Decode);
     run(10);
     EXPECT_TRUE(writes.empty());
     EXPECT_EQ(orders.block(), (Block { BlockReason::LeaseLapsed, {} }));
@@ -324,18 +324,18 @@
     run(10);
     EXPECT_EQ(orders.block(), (Block { BlockReason::ChangeBudget, {} }));
     mayStart = true;
-    orders.answerOrder(runUntilOrder().orderId, OrderAnswer::Refused, now);
+    orders.recordOrderOutcome(runUntilOrder().orderId, OrderOutcome::Refused, now);
     EXPECT_EQ(orders.block(), (Block { BlockReason::RefusedByEngine, {} }));
     run(20);
     EXPECT_EQ(writes.size(), 1U) << "it backs off";
 }
 
-TEST_F(EngineOrdersTest, AnUnreachableEngineIsSaidToBe)
+TEST_F(EngineOrdersTest, AnUnreachableEngineIsReported)
 {
     orders.gainAuthority(5, false, {});
     run(4);
     ASSERT_EQ(orders.phase(), OrderPhase::Settled);
-    want(State::Role::Decode);
+    setDesiredRole(State::Role::Decode);
     orders.observeUnreachable(now);
     for (int n = 0; n < 100; ++n, now += seconds(1)) {
         std::optional<EngineAction> action = poll();
@@ -345,7 +345,7 @@
     EXPECT_EQ(orders.block(), (Block { BlockReason::EngineUnreachable, {} }));
     EXPECT_FALSE(orders.isChanging());
     run(10);
-    EXPECT_EQ(writes.size(), 1U) << "it answers again";
+    EXPECT_EQ(writes.size(), 1U) << "the engine is reachable again";
 }
 
 }
--- a/Tests/LibAuthority/TestEvidenceFinder.cpp
+++ b/Tests/LibAuthority/TestEvidenceFinder.cpp
@@ -23,9 +23,9 @@
 {
     finder.observeAnswer("10.0.0.1:1", "a2", at(200));
     finder.observeAnswer("10.0.0.2:1", "b1", at(200));
-    EXPECT_TRUE(finder.findings().empty()) << "itself, and another address";
+    EXPECT_TRUE(finder.findings().empty()) << "the former holder itself, and a process at another address";
     finder.observeAnswer("10.0.0.1:1", "a1", at(99));
-    EXPECT_TRUE(finder.findings().empty()) << "the process before it, asked before its claim was read";
+    EXPECT_TRUE(finder.findings().empty()) << "may be the previous process: the connection was opened before the claim was read";
     finder.observeAnswer("10.0.0.1:1", "a3", at(101));
     EXPECT_EQ(finder.findings(), (std::vector<Finding> { { 7, Evidence::Replaced } }));
 }
@@ -35,15 +35,15 @@
     finder.observeList({ "entry-b" }, at(50));
     finder.observeList({ "entry-b" }, at(110));
     finder.observeList({ "entry-b" }, at(140));
-    EXPECT_TRUE(finder.findings().empty()) << "30 s are not longer than 30 s";
+    EXPECT_TRUE(finder.findings().empty()) << "30 s don't exceed a lag of 30 s";
     finder.observeList({ "entry-a", "entry-b" }, at(141));
     finder.observeList({ "entry-b" }, at(142));
-    EXPECT_TRUE(finder.findings().empty()) << "it was listed in between";
+    EXPECT_TRUE(finder.findings().empty()) << "the VM was listed in between";
     finder.observeList({ "entry-b" }, at(173));
     EXPECT_EQ(finder.findings(), (std::vector<Finding> { { 7, Evidence::Gone } }));
 }
 
-TEST_F(EvidenceFinderTest, WhatIsSettledIsForgotten)
+TEST_F(EvidenceFinderTest, SettledFormerHoldersAreRemoved)
 {
     finder.observeAnswer("10.0.0.1:1", "a3", at(101));
     unsettled.push_back({ { "entry-c", "10.0.0.3:1", "c1" }, 9 });
--- a/Tests/LibAuthority/TestLeaseKeeper.cpp
+++ b/Tests/LibAuthority/TestLeaseKeeper.cpp
@@ -10,10 +10,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The steady clock stands still while a VM is suspended: its daemon would wake with a lease that another holds by then.
+// The steady clock stops while a VM is suspended: its daemon would resume with a lease that another daemon holds by then.
 static_assert(std::is_same_v<Time, Core::BootClock::time_point>);
 
-/// A keeper with the log that it reads.
+/// A keeper with its fold of the log.
 struct Daemon {
     LeaseKeeper keeper;
     LeaseFold fold;
@@ -40,7 +40,7 @@
     Daemon a { "a" };
     Daemon b { "b" };
 
-    /// `a` claims at the start and reads it back two seconds later.
+    /// Daemon `a` claims the lease at the start and reads the claim back two seconds later.
     void claim()
     {
         log.push_back(encode(a.keeper.poll(start, false).value()));
@@ -51,18 +51,18 @@
 
 }
 
-TEST_F(LeaseKeeperTest, TheHolderCountsFromBeforeItsAppend)
+TEST_F(LeaseKeeperTest, TheHoldersTermStartsBeforeItsAppend)
 {
     EXPECT_FALSE(a.keeper.mayOrder(start));
     claim();
     EXPECT_EQ(a.keeper.fencing(), 0U);
     EXPECT_EQ(a.keeper.phase(start + seconds(2)), KeeperPhase::Holding);
     EXPECT_TRUE(a.keeper.mayOrder(start + milliseconds(14'499)));
-    EXPECT_FALSE(a.keeper.mayOrder(start + milliseconds(14'500))) << "15 s less the margin, from before the append";
+    EXPECT_FALSE(a.keeper.mayOrder(start + milliseconds(14'500))) << "15 s less the margin, from the start of the append";
     EXPECT_EQ(a.keeper.phase(start + seconds(15)), KeeperPhase::Lapsed);
 }
 
-TEST_F(LeaseKeeperTest, ASuccessorCountsFromItsReading)
+TEST_F(LeaseKeeperTest, ASuccessorWaitsFromItsLastRead)
 {
     claim();
     EXPECT_FALSE(b.keeper.poll(start + milliseconds(17'499), false));
@@ -70,27 +70,27 @@
     ASSERT_TRUE(record && std::holds_alternative<Claim>(*record));
     EXPECT_EQ(std::get<Claim>(*record).previous, 0U);
     b.keeper.setCandidate(true, 4);
-    EXPECT_FALSE(b.keeper.poll(start + milliseconds(21'499), false)) << "a later rank waits longer";
+    EXPECT_FALSE(b.keeper.poll(start + milliseconds(21'499), false)) << "a higher rank waits longer";
 }
 
 TEST_F(LeaseKeeperTest, RenewalsCountOnlyWhenReadBack)
 {
     claim();
     std::string first = encode(a.keeper.poll(start + seconds(5), false).value());
-    EXPECT_FALSE(a.keeper.mayOrder(start + seconds(15))) << "its reply may be lost, or the append";
+    EXPECT_FALSE(a.keeper.mayOrder(start + seconds(15))) << "the renewal was not read back";
     std::string second = encode(a.keeper.poll(start + seconds(10), false).value());
     log.push_back(first);
     a.read(log, start + seconds(11));
     EXPECT_TRUE(a.keeper.mayOrder(start + milliseconds(19'499)));
-    EXPECT_FALSE(a.keeper.mayOrder(start + milliseconds(19'500))) << "the first append counts from its own time";
+    EXPECT_FALSE(a.keeper.mayOrder(start + milliseconds(19'500))) << "the first append extends the term from its own start time";
     log.push_back(second);
     log.push_back(first);
     a.read(log, start + seconds(12));
     EXPECT_TRUE(a.keeper.mayOrder(start + milliseconds(24'499)));
-    EXPECT_FALSE(a.keeper.mayOrder(start + milliseconds(24'500))) << "a repeat adds nothing";
+    EXPECT_FALSE(a.keeper.mayOrder(start + milliseconds(24'500))) << "a duplicate doesn't extend the term";
 }
 
-TEST_F(LeaseKeeperTest, ALogOutageEndsTheRightToOrderAndNothingElse)
+TEST_F(LeaseKeeperTest, ALogOutageEndsOnlyTheRightToOrder)
 {
     claim();
     for (int second = 5; second < 100; ++second)
@@ -116,7 +116,7 @@
     std::optional<LeaseRecord> record = a.keeper.poll(start + seconds(31), false);
     ASSERT_EQ(record, LeaseRecord(Acknowledgement { "p", 0 }));
     EXPECT_FALSE(a.keeper.poll(start + seconds(32), false));
-    EXPECT_TRUE(a.keeper.poll(start + seconds(33), false)) << "again, until it is read back";
+    EXPECT_TRUE(a.keeper.poll(start + seconds(33), false)) << "it is repeated until it is read back";
     log.push_back(encode(*record));
     a.read(log, start + seconds(34));
     EXPECT_FALSE(a.keeper.poll(start + seconds(36), false));
@@ -139,7 +139,7 @@
     EXPECT_TRUE(b.keeper.poll(start + seconds(4), false)) << "no wait after a release";
 }
 
-TEST_F(LeaseKeeperTest, AClaimThatLandsLateIsTheHoldersOwnAndHasLapsed)
+TEST_F(LeaseKeeperTest, ADelayedClaimIsTheHoldersOwnAndHasLapsed)
 {
     std::string late = encode(a.keeper.poll(start, false).value());
     log.push_back(late);
--- a/Tests/LibAuthority/TestStoreLease.cpp
+++ b/Tests/LibAuthority/TestStoreLease.cpp
@@ -37,10 +37,10 @@
     a.claimAppended(4);
     EXPECT_TRUE(a.mayOrder(start + 1s));
     EXPECT_EQ(a.fencing(), 4U);
-    EXPECT_FALSE(a.mayOrder(start + 2s)) << "the order time counts from before the append";
+    EXPECT_FALSE(a.mayOrder(start + 2s)) << "the order time starts before the append";
 }
 
-// The boot clock counts a suspension: a holder that wakes up after one finds its time over.
+// The boot clock includes suspension, so that a holder that resumes after one finds its claim expired.
 TEST(StoreLease, AHolderThatWasSuspendedMayNotOrder)
 {
     StoreLease a = lease("a");
@@ -51,7 +51,7 @@
     EXPECT_FALSE(a.mayOrder(afterSuspension));
 }
 
-TEST(StoreLease, AnotherWaitsUntilTheHolderCanOrderNoMoreAndABitLonger)
+TEST(StoreLease, AnotherDaemonWaitsForTheOrderTimeAndTheQuietTime)
 {
     StoreLease b = lease("b");
     b.observe(StoreLeaseClaim { 3, { "a", 1 } }, 4, start);
@@ -67,14 +67,14 @@
     EXPECT_FALSE(a.fencing());
 }
 
-TEST(StoreLease, AClaimWhoseAnswerWasLostCountsFromItsAppend)
+TEST(StoreLease, AClaimWhoseResponseWasLostStartsAtItsAppend)
 {
     StoreLease a = lease("a");
     a.observe(std::nullopt, 0, start);
     a.poll(true, start);
     a.claimUnknown();
     EXPECT_FALSE(a.mayOrder(start + 1s));
-    EXPECT_FALSE(a.poll(true, start + 1s)) << "the first append may still be carried out";
+    EXPECT_FALSE(a.poll(true, start + 1s)) << "the first append may still be applied";
     a.observe(StoreLeaseClaim { 0, { "a", 1 } }, 1, start + 1s);
     EXPECT_TRUE(a.mayOrder(start + 1s));
     EXPECT_FALSE(a.mayOrder(start + 2s));
@@ -88,24 +88,24 @@
     a.claimUnknown();
     a.observe(StoreLeaseClaim { 0, { "a", 1 } }, 1, start + 6s);
     EXPECT_FALSE(a.mayOrder(start + 6s));
-    EXPECT_TRUE(a.poll(true, start + 6s)) << "its own claim is in nobody's way";
+    EXPECT_TRUE(a.poll(true, start + 6s)) << "its own claim doesn't delay it";
 }
 
-// Guards against a holder that comes back, finds another's claim behind its own, and orders under its earlier number all the same.
-TEST(StoreLease, ARefusedClaimGivesNoAuthorityUnderAnEarlierNumber)
+// Guards against a returning holder whose claim fails because of another's claim, and which sends orders with its earlier token.
+TEST(StoreLease, AFailedClaimGivesNoAuthorityUnderAnEarlierToken)
 {
     StoreLease a = lease("a");
     a.observe(std::nullopt, 0, start);
     a.poll(true, start);
     a.claimAppended(0);
     ASSERT_TRUE(a.mayOrder(start + 1s));
-    ASSERT_TRUE(a.pollOwn(start + 10s)) << "without a read: the last claim was its own";
+    ASSERT_TRUE(a.pollReclaim(start + 10s)) << "needs no read, as the last claim was its own";
     a.claimFailed();
     EXPECT_FALSE(a.mayOrder(start + 10s));
     EXPECT_FALSE(a.fencing());
     a.observe(StoreLeaseClaim { 1, { "b", 1 } }, 2, start + 10s);
     EXPECT_FALSE(a.mayOrder(start + 10s));
-    EXPECT_FALSE(a.poll(true, start + 10s)) << "the other one is waited for";
+    EXPECT_FALSE(a.poll(true, start + 10s)) << "the other holder's term has to end first";
 }
 
 TEST(StoreLease, ARefusalByAnEngineEndsTheAuthority)
@@ -120,16 +120,16 @@
     EXPECT_TRUE(a.poll(true, start + 6s));
 }
 
-// Guards against engines that keep their roles for five seconds when whoever ordered them is lost.
-TEST(StoreLease, WhereNumbersAreCheckedAnotherTakesOverAtOnce)
+// Guards against engines that are left without role changes for five seconds after the loss of the lease holder.
+TEST(StoreLease, WithFencingChecksAnotherDaemonTakesOverAtOnce)
 {
     StoreLease b = fencedLease("b");
     b.observe(StoreLeaseClaim { 3, { "a", 1 } }, 4, start);
     EXPECT_TRUE(b.poll(true, start));
 }
 
-// Guards against a process that starts again within the quiet time, and takes turns with whoever ordered after its former one.
-TEST(StoreLease, WhereNumbersAreCheckedAProcessThatHasJustStartedWaits)
+// Guards against a process that restarts within the quiet time and alternates with the daemon that took over from it.
+TEST(StoreLease, WithFencingChecksAProcessThatHasJustStartedWaits)
 {
     StoreLease a = fencedLease("a", 2, start);
     a.observe(StoreLeaseClaim { 3, { "b", 1 } }, 4, start + 1s);
@@ -137,30 +137,30 @@
     EXPECT_TRUE(a.poll(true, start + 3300ms));
     StoreLease first = fencedLease("a", 2, start);
     first.observe(std::nullopt, 0, start);
-    EXPECT_TRUE(first.poll(true, start)) << "nobody has ordered before";
+    EXPECT_TRUE(first.poll(true, start)) << "no orders were sent before";
 }
 
-// Two daemons, one store that decides conditional appends, lost answers, late reads and suspensions: never may both
-// order within the quiet time of each other, and fencing numbers only grow.
+// Two daemons and a store with conditional appends, with lost responses, late reads and suspensions: the two must never
+// send orders within the quiet time of each other, and fencing tokens must only increase.
 RC_GTEST_PROP(StoreLease, TwoHoldersNeverTakeTurnsWithinTheQuietTime, ())
 {
     std::vector<StoreLease> daemons { lease("a"), lease("b") };
     std::vector<std::string> names { "a", "b" };
     std::vector<StoreLeaseClaim> log;
-    std::optional<std::size_t> lastOrderer;
+    std::optional<std::size_t> lastOrderingDaemon;
     Time lastOrder = start;
     std::uint64_t lastFencing = 0;
     Time now = start;
     for (int step = 0; step < 60; ++step) {
         now += std::chrono::milliseconds(*rc::gen::inRange(1, 900));
-        std::size_t who = *rc::gen::inRange<std::size_t>(0, 2);
-        StoreLease& daemon = daemons[who];
+        std::size_t index = *rc::gen::inRange<std::size_t>(0, 2);
+        StoreLease& daemon = daemons[index];
         daemon.observe(log.empty() ? std::nullopt : std::optional(log.back()), log.size(), now);
         if (std::optional<StoreLeaseAppend> append = daemon.poll(true, now)) {
             now += std::chrono::milliseconds(*rc::gen::inRange(1, 2'500));
             bool isAppended = append->expectedNext == log.size();
             if (isAppended)
-                log.push_back({ log.size(), { names[who], 1 } });
+                log.push_back({ log.size(), { names[index], 1 } });
             if (*rc::gen::inRange(0, 4) == 0)
                 daemon.claimUnknown();
             else if (isAppended)
@@ -171,38 +171,38 @@
         if (!daemon.mayOrder(now))
             continue;
         RC_ASSERT(*daemon.fencing() >= lastFencing);
-        RC_ASSERT(!lastOrderer || *lastOrderer == who || now - lastOrder >= 3s);
-        lastOrderer = who;
+        RC_ASSERT(!lastOrderingDaemon || *lastOrderingDaemon == index || now - lastOrder >= 3s);
+        lastOrderingDaemon = index;
         lastOrder = now;
         lastFencing = *daemon.fencing();
     }
 }
 
-// The same where engines check numbers, and with daemons that start again: one that ordered, and then another, is not to order again
-// within the quiet time of its own last order.
+// The same with engines that check fencing tokens and daemons that restart: a daemon whose orders were followed by another's must
+// not send orders again within the quiet time of its own last order.
 RC_GTEST_PROP(StoreLease, WhereNumbersAreCheckedNoneTakesTurnsWithinTheQuietTime, ())
 {
     std::vector<std::string> names { "a", "b" };
-    std::vector<std::uint64_t> lives { 1, 1 };
+    std::vector<std::uint64_t> incarnations { 1, 1 };
     std::vector<StoreLease> daemons { fencedLease("a"), fencedLease("b") };
     std::vector<StoreLeaseClaim> log;
-    std::vector<std::optional<Time>> ordered(2);
-    std::optional<std::size_t> lastOrderer;
+    std::vector<std::optional<Time>> lastOrders(2);
+    std::optional<std::size_t> lastOrderingDaemon;
     std::uint64_t highest = 0;
     Time now = start;
     for (int step = 0; step < 80; ++step) {
         now += std::chrono::milliseconds(*rc::gen::inRange(1, 900));
-        std::size_t who = *rc::gen::inRange<std::size_t>(0, 2);
+        std::size_t index = *rc::gen::inRange<std::size_t>(0, 2);
         if (*rc::gen::inRange(0, 10) == 0)
-            daemons[who] = fencedLease(names[who], ++lives[who], now);
-        StoreLease& daemon = daemons[who];
+            daemons[index] = fencedLease(names[index], ++incarnations[index], now);
+        StoreLease& daemon = daemons[index];
         if (*rc::gen::inRange(0, 3) != 0)
             daemon.observe(log.empty() ? std::nullopt : std::optional(log.back()), log.size(), now);
         if (std::optional<StoreLeaseAppend> append = daemon.poll(true, now)) {
             now += std::chrono::milliseconds(*rc::gen::inRange(1, 2'500));
             bool isAppended = append->expectedNext == log.size();
             if (isAppended)
-                log.push_back({ log.size(), { names[who], lives[who] } });
+                log.push_back({ log.size(), { names[index], incarnations[index] } });
             if (*rc::gen::inRange(0, 4) == 0)
                 daemon.claimUnknown();
             else if (isAppended)
@@ -212,15 +212,15 @@
         }
         if (!daemon.mayOrder(now))
             continue;
-        daemon.noteOrder(now);
-        // A lower number is refused, and nothing comes of it.
+        daemon.recordOrder(now);
+        // An order with a lower fencing token is rejected without effect.
         if (*daemon.fencing() < highest) {
             daemon.loseAuthority(now);
             continue;
         }
-        RC_ASSERT(!ordered[who] || lastOrderer == who || now - *ordered[who] >= 3s);
+        RC_ASSERT(!lastOrders[index] || lastOrderingDaemon == index || now - *lastOrders[index] >= 3s);
         highest = *daemon.fencing();
-        lastOrderer = who;
-        ordered[who] = now;
+        lastOrderingDaemon = index;
+        lastOrders[index] = now;
     }
 }
--- a/Tests/LibDuties/TestUsageTakeOver.cpp
+++ b/Tests/LibDuties/TestUsageTakeOver.cpp
@@ -144,7 +144,7 @@
     void send(Service& service, std::vector<Late>& late, Duties::UsageReport const& report, Fate fate, Time now)
     {
         std::uint64_t fencing = *m_lease.fencing();
-        m_lease.noteOrder(now);
+        m_lease.recordOrder(now);
         if (fate == Fate::Late) {
             late.push_back({ m_name, fencing, report });
             return;
