--- a/Libraries/LibDaemon/CallerApi.cpp
+++ b/Libraries/LibDaemon/CallerApi.cpp
@@ -117,7 +117,7 @@
     work.key = workKeyOf(request, work);
     if (m_shared.isLeaving) {
         std::chrono::duration<double> expected { m_context.dispatcher.expectedOutputSeconds(*m_context.fleet, work.name, work.shape) };
-        if (!m_shared.leaveTimes.takes(work.timeout, expected, Clock::now())) {
+        if (!m_shared.leaveTimes.accepts(work.timeout, expected, Clock::now())) {
             co_await sendError(Core::makeError(Core::ErrorCode::Unavailable, "this daemon is stopping, and would end before the answer does"), work.requestId, work.isRepeatable, writer);
             co_return;
         }
--- a/Libraries/LibDaemon/ControlFleet.cpp
+++ b/Libraries/LibDaemon/ControlFleet.cpp
@@ -72,7 +72,7 @@
     target.model = std::string(labels.get("model").value_or(status.state ? status.state->model : ""));
     target.role = status.state ? roleOf(status.state->role) : Routing::TargetRole::Mixed;
     target.distance = distanceTo(status.vm);
-    target.closedBecause = whyClosed(status, labels);
+    target.closeReason = whyClosed(status, labels);
     return target;
 }
 
--- a/Libraries/LibDaemon/Dispatcher.cpp
+++ b/Libraries/LibDaemon/Dispatcher.cpp
@@ -13,12 +13,12 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t knownPrefixes = 16 * 1024;
-constexpr std::size_t mostMatches = 16;
-// No engine that was seen takes less for a prompt; a mean that is not known yet is none.
-constexpr double leastPromptSeconds = 0.001;
+constexpr std::size_t prefixIndexCapacity = 16 * 1024;
+constexpr std::size_t maxPrefixMatches = 16;
+// Lower bound for the mean prompt time, which is 0 until it is known. No engine is faster.
+constexpr double minPromptSeconds = 0.001;
 
-// What a request adds to the work of a target in this role.
+// Returns the work that a request adds to a target in this role.
 Routing::TargetWork workOf(Routing::RequestShape const& shape, Routing::TargetRole role, std::uint32_t tokensToCompute, double promptFactor)
 {
     Routing::TargetWork work;
@@ -37,14 +37,14 @@
 {
     BOOST_OUTCOME_TRY(Routing::Router router, Routing::Router::create(settings.routing));
     BOOST_OUTCOME_TRY(Routing::LoadTable loads, Routing::LoadTable::create(Routing::LoadTable::Settings()));
-    BOOST_OUTCOME_TRY(Routing::PrefixIndex prefixes, Routing::PrefixIndex::create(knownPrefixes));
+    BOOST_OUTCOME_TRY(Routing::PrefixIndex prefixes, Routing::PrefixIndex::create(prefixIndexCapacity));
     std::unique_ptr<Dispatcher> dispatcher(new Dispatcher(settings, router, std::move(loads), std::move(prefixes), seed));
     Admission::Controller::Limits limits;
     limits.inFlightPerOrganisation = settings.limits.inFlightPerOrganisation;
     limits.queuedPerOrganisation = settings.limits.queuedPerOrganisation;
     limits.queuedPerGroup = std::max<std::size_t>(settings.limits.queuedPerTarget, 1);
     Dispatcher* raw = dispatcher.get();
-    BOOST_OUTCOME_TRY(dispatcher->m_admission, Admission::Controller::create(limits, [raw](Admission::RequestId id, Admission::GroupId) { return raw->chooseFor(id); }));
+    BOOST_OUTCOME_TRY(dispatcher->m_admission, Admission::Controller::create(limits, [raw](Admission::RequestId id, Admission::GroupId) { return raw->chooseTarget(id); }));
     return dispatcher;
 }
 
@@ -54,7 +54,7 @@
     , m_loads(std::move(loads))
     , m_prefixes(std::move(prefixes))
     , m_random(seed)
-    , m_ownNumber(m_random())
+    , m_preferenceSeed(m_random())
 {
 }
 
@@ -66,8 +66,8 @@
     return ++m_lastId;
 }
 
-// Requests that may go to the same targets share a queue, so that one which waits for its targets never holds up
-// another that may go elsewhere.
+// Requests with the same set of allowed targets share a queue, so that a waiting request never blocks one that may go
+// to other targets.
 Admission::GroupId Dispatcher::groupOf(PlacementRequest const& request)
 {
     std::vector<std::uint32_t> ids;
@@ -93,8 +93,8 @@
     }
 }
 
-// When every target was tried, trying one again is better than waiting for another that does not exist.
-void Dispatcher::dropExclusionsOfAll(PlacementRequest& request) const
+// If every fitting target was already tried, allows trying them again instead of waiting for a new one.
+void Dispatcher::clearExhaustedExclusions(PlacementRequest& request) const
 {
     bool isAnyLeft = std::any_of(request.allowed.begin(), request.allowed.end(), [&](std::uint32_t position) {
         FleetTarget const& target = request.fleet->targets[position];
@@ -120,12 +120,12 @@
     return demand;
 }
 
-// The place hook of admission; called with the mutex held.
-std::optional<Admission::TargetId> Dispatcher::chooseFor(Admission::RequestId id)
+// Callback of the admission controller. Called with the mutex held.
+std::optional<Admission::TargetId> Dispatcher::chooseTarget(Admission::RequestId id)
 {
     Waiter& waiter = *m_waiters.at(id);
     PlacementRequest const& request = waiter.request;
-    std::array<Routing::PrefixMatch, mostMatches> matches {};
+    std::array<Routing::PrefixMatch, maxPrefixMatches> matches {};
     std::size_t matched = m_prefixes.match(request.prefix, matches);
     Clock::time_point now = Clock::now();
     Core::BootClock::time_point bootNow = Core::BootClock::now();
@@ -142,16 +142,16 @@
         if (role == m_roles.end())
             continue;
         bool isExcluded = std::find(request.excluded.begin(), request.excluded.end(), target.name) != request.excluded.end();
-        // Targets that may not be chosen now are candidates all the same: what they have on its way counts.
-        bool isShut = !m_admission->hasRoom(target.id) || m_health.isClosed(target.key, now) || m_avoided.contains(target.key) || m_notices.isClosed(target.key, bootNow);
-        bool isClosed = isExcluded || isShut;
-        // One that was tried may make the output all the same, when no other is left.
-        hasOutputTarget = hasOutputTarget || (role->second != Routing::TargetRole::Prefill && !isShut);
+        // Targets that cannot be chosen now are candidates, too, because the outputs pending from them count.
+        bool isUnusable = !m_admission->hasRoom(target.id) || m_health.isClosed(target.key, now) || m_avoided.contains(target.key) || m_notices.isClosed(target.key, bootNow);
+        bool isClosed = isExcluded || isUnusable;
+        // An excluded target counts, because it may still generate the output if no other is left.
+        hasOutputTarget = hasOutputTarget || (role->second != Routing::TargetRole::Prefill && !isUnusable);
         bool isFailing = !isClosed && m_outliers.isOutlier(target.key, now);
-        // What the target is now counts, not what it was when the request came: it may have waited for a change to end.
+        // Uses the target's current role, because it may have changed while the request was waiting.
         Routing::Candidate candidate { target.id, role->second, target.distance, isClosed || isFailing, 0, m_loads.load(target.id, now), m_openWork.total(target.key, now) };
         candidate.slots = target.slots;
-        candidate.preference = Routing::homeWeight(m_ownNumber, target.key);
+        candidate.preference = Routing::homeWeight(m_preferenceSeed, target.key);
         candidate.promptFactor = m_speeds.promptFactor(target.key);
         candidate.eventFactor = m_speeds.eventFactor(target.key);
         if (!isClosed && Routing::takes(role->second, request.shape.phase)) {
@@ -170,21 +170,21 @@
         m_candidates.push_back(candidate);
         m_candidatePositions.push_back(position);
     }
-    addHome(request);
+    markHomes(request);
     Routing::RequestShape shape = request.shape;
     shape.promptCost = m_speeds.speed(request.work, now).promptCost;
     shape.outputSeconds = outputSeconds(*request.fleet, request.work, shape, now);
     shape.unseenRequests = unseenRequests(request.work, shape.phase, stale, fitTargets);
-    // A request whose output is being placed is itself no longer on its way.
+    // In the decode phase, the output being placed is no longer pending itself.
     shape.pendingOutputs = shape.phase == Routing::Phase::Decode ? 0 : Routing::pendingOutputs(m_candidates);
     waiter.outcome.decision = m_router.decide(m_candidates, shape, m_random);
     if (!waiter.outcome.decision.chosen && !m_failingCandidates.empty()) {
-        // One that fails often is better than none.
+        // A target that fails often is better than none.
         for (std::size_t n : m_failingCandidates)
             m_candidates[n].closed = false;
         waiter.outcome.decision = m_router.decide(m_candidates, shape, m_random);
     }
-    // A prompt whose output nobody can make is not computed: that would be in vain, and keep targets from what follows.
+    // A prompt is not computed while no target can decode it: that would waste prefill capacity that other requests need.
     if (waiter.outcome.decision.chosen && waiter.outcome.decision.role == Routing::TargetRole::Prefill && !hasOutputTarget) {
         waiter.outcome.decision.chosen.reset();
         waiter.outcome.decision.reason = Routing::Reason::NoOutputTarget;
@@ -192,7 +192,7 @@
     if (!waiter.outcome.decision.chosen)
         return std::nullopt;
     std::uint32_t cached = m_candidates[*waiter.outcome.decision.chosen].prefixMatchTokens;
-    waiter.computesShared = shape.prefixHash != 0 && cached < shape.sharedTokens && waiter.outcome.decision.role == Routing::TargetRole::Prefill;
+    waiter.computesSharedPrefix = shape.prefixHash != 0 && cached < shape.sharedTokens && waiter.outcome.decision.role == Routing::TargetRole::Prefill;
     waiter.promptTokens = shape.phase == Routing::Phase::Decode ? 0 : shape.promptTokens - std::min(cached, shape.promptTokens);
     waiter.outcome.position = m_candidatePositions[*waiter.outcome.decision.chosen];
     waiter.work = workOf(shape, waiter.outcome.decision.role, waiter.promptTokens, m_candidates[*waiter.outcome.decision.chosen].promptFactor);
@@ -201,19 +201,19 @@
     return waiter.outcome.decision.target;
 }
 
-// Requests that stay open for a tenth of the time since they were told of have been followed by ten times as many.
+// If requests stay open for a tenth of the time since a peer reported them, about ten times as many have followed since.
 double Dispatcher::unseenRequests(std::string const& service, Routing::Phase phase, Routing::StaleWork const& stale, std::size_t targets) const
 {
     bool isPrompt = phase == Routing::Phase::WholeOrPrefill;
     Routing::TargetRole role = isPrompt ? Routing::TargetRole::Prefill : phase == Routing::Phase::Decode ? Routing::TargetRole::Decode
                                                                                                          : Routing::TargetRole::Mixed;
     double openSeconds = m_speeds.openSeconds(service, role);
-    double requests = isPrompt ? stale.prefillSeconds / std::max(m_demand.meanPrompt(service), leastPromptSeconds) : stale.requests;
+    double requests = isPrompt ? stale.prefillSeconds / std::max(m_demand.meanPrompt(service), minPromptSeconds) : stale.requests;
     return targets > 0 && openSeconds > 0 ? requests / static_cast<double>(targets) / openSeconds : 0;
 }
 
-// All daemons look for a shared part at the same target, whatever each of them has seen of it.
-void Dispatcher::addHome(PlacementRequest const& request)
+// The home targets of a shared prefix are the same at all daemons, whatever each has seen of it.
+void Dispatcher::markHomes(PlacementRequest const& request)
 {
     if (request.shape.phase != Routing::Phase::WholeOrPrefill || request.shape.prefixHash == 0)
         return;
@@ -235,8 +235,8 @@
 void Dispatcher::noteSent(Waiter& waiter)
 {
     std::uint64_t key = waiter.request.fleet->targets[*waiter.outcome.position].key;
-    constexpr double nothing = 1e-6;
-    waiter.isAlone = m_openWork.total(key, Clock::now()).prefillSeconds < nothing;
+    constexpr double negligibleSeconds = 1e-6;
+    waiter.isOnlyPrompt = m_openWork.total(key, Clock::now()).prefillSeconds < negligibleSeconds;
     m_openWork.begin(key, waiter.work);
     waiter.sentAt = Clock::now();
     std::uint32_t id = waiter.request.fleet->targets[*waiter.outcome.position].id;
@@ -245,8 +245,8 @@
     if (!hasPrompt)
         return;
     m_prefixes.routed(waiter.request.prefix, id);
-    if (waiter.computesShared)
-        m_untoldParts.push_back({ waiter.request.shape.prefixHash, waiter.request.fleet->targets[*waiter.outcome.position].key });
+    if (waiter.computesSharedPrefix)
+        m_unreportedParts.push_back({ waiter.request.shape.prefixHash, waiter.request.fleet->targets[*waiter.outcome.position].key });
 }
 
 void Dispatcher::wake(std::shared_ptr<Waiter> const& waiter)
@@ -280,7 +280,7 @@
     }
 }
 
-void Dispatcher::drainOutcomes()
+void Dispatcher::applyAdmissionResults()
 {
     resolve(m_admission->takeGrants());
     resolve(m_admission->takeRefusals());
@@ -294,7 +294,7 @@
         std::lock_guard lock(m_mutex);
         m_waiters.emplace(id, waiter);
         noteDemand(waiter->request);
-        dropExclusionsOfAll(waiter->request);
+        clearExhaustedExclusions(waiter->request);
         Admission::Controller::Decision decision = m_admission->enter(demandOf(waiter->request, id), Clock::now());
         if (std::holds_alternative<Admission::Grant>(decision)) {
             noteSent(*waiter);
@@ -306,7 +306,7 @@
             waiter->isResolved = true;
             m_waiters.erase(id);
         }
-        drainOutcomes();
+        applyAdmissionResults();
         if (waiter->isResolved)
             co_return waiter->outcome;
     }
@@ -317,11 +317,11 @@
             std::lock_guard lock(m_mutex);
             if (waiter->isResolved)
                 break;
-            // Where targets want nothing for a while, somebody has to look when they do again.
+            // If all targets are paused, wakes up when the first one accepts requests again.
             Core::BootClock::time_point now = Core::BootClock::now();
-            std::optional<Core::BootClock::time_point> opening = nextOpening(waiter->request);
+            std::optional<Core::BootClock::time_point> opening = nextReopening(waiter->request);
             if (opening && Clock::now() + (*opening - now) >= until) {
-                refusePaused(*waiter, *opening - now);
+                rejectWhilePaused(*waiter, *opening - now);
                 co_return waiter->outcome;
             }
             if (opening)
@@ -333,13 +333,13 @@
         isInTime = Clock::now() < waiter->request.latestStart;
         std::lock_guard lock(m_mutex);
         if (isInTime && !waiter->isResolved)
-            serveOpened(waiter->request);
+            retryReopenedTargets(waiter->request);
     }
     std::lock_guard lock(m_mutex);
     if (!waiter->isResolved)
         resolve(m_admission->expire(Clock::now()));
     if (!waiter->isResolved) {
-        // Released by its owner, or the clock is a hair before the deadline: either way it does not start.
+        // Released by its owner, or the timer fired slightly before the deadline. In both cases it does not start.
         std::ignore = m_admission->release(id, Clock::now());
         m_waiters.erase(id);
         waiter->outcome.position.reset();
@@ -369,10 +369,10 @@
         wake(waiter);
     }
     resolve(m_admission->release(id, Clock::now()));
-    drainOutcomes();
+    applyAdmissionResults();
 }
 
-void Dispatcher::prefilled(std::uint64_t id)
+void Dispatcher::notePrefillDone(std::uint64_t id)
 {
     std::lock_guard lock(m_mutex);
     std::unordered_map<std::uint64_t, std::shared_ptr<Waiter>>::iterator it = m_waiters.find(id);
--- a/Libraries/LibDaemon/Dispatcher.h
+++ b/Libraries/LibDaemon/Dispatcher.h
@@ -27,7 +27,7 @@
 
 namespace Daemon {
 
-/// What a request wants of the dispatcher.
+/// Input of `Dispatcher::place`.
 struct PlacementRequest {
     std::string requestId;
     std::string organisation;
@@ -36,127 +36,127 @@
     Routing::RequestShape shape;
     std::vector<Routing::PrefixBlock> prefix;
     FleetPointer fleet;
-    std::vector<std::uint32_t> allowed; ///< Positions in the fleet's targets.
-    std::string kvZone; ///< The availability zone that a prompt's KV cache is fetched from; empty: it is not fetched.
-    std::vector<std::string> excluded; ///< Names of targets that were tried.
+    std::vector<std::uint32_t> allowed; ///< Indices into the fleet's targets.
+    std::string kvZone; ///< Availability zone that holds the prompt's KV cache; empty if none is fetched.
+    std::vector<std::string> excluded; ///< Names of targets already tried.
     std::chrono::steady_clock::time_point latestStart;
 };
 
-/// Where a request may go, or why nowhere.
+/// The chosen target, or the reason why there is none.
 struct PlacementOutcome {
-    std::uint64_t id { 0 }; ///< Hand it to `release` when the request has ended there.
-    std::optional<std::uint32_t> position; ///< In the request's fleet.
+    std::uint64_t id { 0 }; ///< To pass to `release` when the request has ended at the target.
+    std::optional<std::uint32_t> position; ///< Index into the targets of the request's fleet.
     Routing::Decision decision;
-    double prefillSeconds { 0 }; ///< Estimated, where only the prompt is computed there; else 0.
-    double meanPrefillSeconds { 0 }; ///< Of prompts to the same service lately.
-    Core::Error error; ///< Without a position; says not run.
+    double prefillSeconds { 0 }; ///< Estimate, if the target only computes the prompt; otherwise 0.
+    double meanPrefillSeconds { 0 }; ///< Recent mean for prompts to the same service.
+    Core::Error error; ///< Set if there is no position; its verdict is NotRun.
     std::chrono::milliseconds retryAfter { 0 };
 };
 
-/// Lets requests in within the limits and chooses their targets: the one place of a daemon where admission,
-/// loads, prefixes and routing meet. Thread-safe.
+/// Admits requests within the configured limits and chooses their targets. Combines admission, target loads, the prefix
+/// index and routing. One per daemon. Thread-safe.
 class Dispatcher {
 public:
-    /// Errors: BadInput from one of the parts.
+    /// Errors: BadInput from one of the components.
     static Core::Result<std::unique_ptr<Dispatcher>> create(Settings::DaemonSettings const&, std::uint64_t seed);
     ~Dispatcher();
 
-    /// Waits until the request may go to a target, or is refused. `cancel` with the returned ticket number ends
-    /// the wait early. Precondition: awaited on the thread of `executor`.
+    /// Waits until the request gets a target or is refused. `release` with the same id ends the wait early.
+    /// Precondition: awaited on the thread of `executor`.
     boost::asio::awaitable<PlacementOutcome> place(PlacementRequest, boost::asio::any_io_executor executor, std::uint64_t id);
 
-    /// Returns a number for the next `place`.
+    /// Returns a new id for `place`.
     std::uint64_t nextId();
 
-    /// Ends a placement, whether it waits or was granted. Unknown ids change nothing.
+    /// Ends a waiting or granted placement. Unknown ids are ignored.
     void release(std::uint64_t id);
 
-    /// Notes that the target has computed the prompt of a request.
-    void prefilled(std::uint64_t id);
+    /// Records that the target has finished computing the request's prompt.
+    void notePrefillDone(std::uint64_t id);
 
-    /// Notes how long the target of a placement took to compute the prompt alone.
-    void promptComputed(std::uint64_t id, std::chrono::steady_clock::duration);
+    /// Records how long the placement's target took to compute the prompt, without its output.
+    void notePromptTime(std::uint64_t id, std::chrono::steady_clock::duration);
 
-    /// Notes the time between two events of a stream that the target of a placement makes.
+    /// Records the time between two events of the stream that the placement's target generates.
     void noteEventGap(std::uint64_t id, std::chrono::steady_clock::duration);
 
-    /// Returns the demand of this daemon's requests on each service's engines, and what it has learnt of these.
+    /// Returns, per service, the demand of this daemon's requests on its engines and the engine speeds measured here.
     std::vector<Routing::ServiceReport> serviceReports() const;
 
-    /// Returns how long the output of such a request to a service takes, in seconds; 0 where that is not learnt yet.
+    /// Returns the expected time to generate the output of such a request, in seconds; 0 while it is unknown.
     double expectedOutputSeconds(FleetSnapshot const&, std::string const& service, Routing::RequestShape const&) const;
 
-    /// Returns how many times as long as others a target takes for what it does in a role, as learnt.
+    /// Returns the measured time of a target for its work in a role, relative to other targets (1: the same).
     double slowness(std::uint64_t targetKey, Routing::TargetRole) const;
 
-    /// Takes what a peer has learnt of services' engines.
+    /// Applies the engine speeds that a peer has measured.
     void takePeerReports(std::string const& peer, std::vector<Routing::ServiceReport> const&);
 
-    /// Takes a load report of a target in.
+    /// Applies a load report of a target.
     void report(std::uint32_t targetId, Routing::LoadReport const&);
 
-    /// Takes the fleet's targets and limits over.
+    /// Replaces the known targets and their limits by those of the fleet.
     void setFleet(FleetPointer);
 
-    /// Returns how many requests wait here or are open at a target.
+    /// Returns how many requests are waiting here or open at a target.
     std::size_t openRequests() const;
 
     /// Returns how many requests this daemon has open at a target.
     std::uint32_t inFlightAt(std::uint32_t targetId) const;
 
-    /// Notes how a send to a target ended, by the target's key.
+    /// Records how a send to a target ended.
     void noteOutcome(std::uint64_t targetKey, Routing::TargetOutcome);
 
-    /// Notes what a target says of itself in an answer. Returns whether it is new that it leaves.
+    /// Records a target's notice about itself from a response. Returns true if it is the first that says it leaves.
     bool noteNotice(std::uint64_t targetKey, Routing::TargetNotice const&);
 
-    /// Whether a request that was placed at a target may still be written to it.
+    /// Returns whether a request that was placed at a target may still be written to it.
     bool mayWrite(FleetTarget const&) const;
 
-    /// Returns the shared parts that this daemon was the first known to send to a target, since the last call.
+    /// Returns the shared prompt prefixes that this daemon was the first known to send to a target since the last call.
     std::vector<Routing::HeldPart> takeHeldParts();
 
-    /// Takes what a peer was the first to send to targets.
+    /// Applies the prompt prefixes that a peer was the first to send to targets.
     void takePeerParts(std::vector<Routing::HeldPart> const&);
 
-    /// Returns how requests of this daemon ended since the last call, for its peers.
+    /// Returns the outcome counts of this daemon's requests since the last call, for its peers.
     std::vector<Routing::OutcomeCounts> takeOutcomes();
 
-    /// Takes how requests of a peer ended.
+    /// Applies the outcome counts of a peer's requests.
     void takePeerOutcomes(std::vector<Routing::OutcomeCounts> const&);
 
-    /// Returns the keys of targets that this daemon could not reach lately.
+    /// Returns the keys of targets that this daemon recently failed to reach.
     std::vector<std::uint64_t> suspects() const;
 
-    /// Takes the keys of targets that enough other daemons cannot reach: nothing is sent there.
+    /// Sets the keys of targets that enough other daemons cannot reach. No requests are sent to them.
     void setAvoided(std::set<std::uint64_t>);
 
     /// Returns the work that this daemon has open at targets, for its peers.
     std::vector<Routing::TargetShare> openWork() const;
 
-    /// Takes the open work of a peer, in place of what it said before; it counts for `lifetime`.
+    /// Replaces the open work reported by a peer. It expires after `lifetime`.
     void takePeerWork(std::string const& peer, std::vector<Routing::TargetShare> const&, std::chrono::milliseconds lifetime);
 
 private:
     struct Waiter;
     Dispatcher(Settings::DaemonSettings const&, Routing::Router, Routing::LoadTable, Routing::PrefixIndex, std::uint64_t seed);
 
-    std::optional<Admission::TargetId> chooseFor(Admission::RequestId);
+    std::optional<Admission::TargetId> chooseTarget(Admission::RequestId);
     void resolve(std::vector<Admission::Grant> const&);
     void resolve(std::vector<Admission::Refusal> const&);
-    void drainOutcomes();
-    std::optional<Core::BootClock::time_point> nextOpening(PlacementRequest const&) const;
-    void serveOpened(PlacementRequest const&);
-    void refusePaused(Waiter&, Core::BootClock::duration left);
+    void applyAdmissionResults();
+    std::optional<Core::BootClock::time_point> nextReopening(PlacementRequest const&) const;
+    void retryReopenedTargets(PlacementRequest const&);
+    void rejectWhilePaused(Waiter&, Core::BootClock::duration left);
     void wake(std::shared_ptr<Waiter> const&);
     Admission::GroupId groupOf(PlacementRequest const&);
     void addGroup(Admission::GroupId, std::vector<std::uint32_t> const& targetIds);
-    void dropExclusionsOfAll(PlacementRequest&) const;
+    void clearExhaustedExclusions(PlacementRequest&) const;
     void noteSent(Waiter&);
     void noteDemand(PlacementRequest const&);
     double outputSeconds(FleetSnapshot const&, std::string const& service, Routing::RequestShape const&, std::chrono::steady_clock::time_point now) const;
     void updateOutliers(std::chrono::steady_clock::time_point now);
-    void addHome(PlacementRequest const&);
+    void markHomes(PlacementRequest const&);
     double unseenRequests(std::string const& service, Routing::Phase, Routing::StaleWork const&, std::size_t targets) const;
     std::uint32_t limitOf(FleetTarget const&) const;
     Admission::Demand demandOf(PlacementRequest const&, std::uint64_t id);
@@ -170,30 +170,30 @@
     Routing::TargetNotices m_notices;
     Routing::OutlierFinder m_outliers;
     std::chrono::steady_clock::time_point m_outliersUpdated;
-    std::unordered_map<std::uint64_t, std::string> m_targetNames; ///< By key, for logs.
+    std::unordered_map<std::uint64_t, std::string> m_targetNames; ///< By target key, for logs.
     Routing::SpeedBook m_speeds;
     Routing::DemandMeter m_demand;
-    std::set<std::string> m_services; ///< Of engines that requests have asked for.
+    std::set<std::string> m_services; ///< Services with engines that requests have named.
     std::set<std::uint64_t> m_avoided; ///< Keys of targets that peers cannot reach.
     Routing::PrefixIndex m_prefixes;
-    std::vector<Routing::HeldPart> m_untoldParts;
+    std::vector<Routing::HeldPart> m_unreportedParts;
     std::unordered_map<std::uint64_t, std::uint32_t> m_targetIdsByKey;
     std::unique_ptr<Admission::Controller> m_admission;
     std::mt19937_64 m_random;
-    std::uint64_t m_ownNumber; ///< Differs from daemon to daemon, and so do the targets that each prefers.
+    std::uint64_t m_preferenceSeed; ///< Differs per daemon, and with it the preferred targets.
     std::uint64_t m_lastId { 0 };
     std::unordered_map<std::uint64_t, std::shared_ptr<Waiter>> m_waiters; ///< Waiting and granted placements.
-    std::map<std::vector<std::uint32_t>, Admission::GroupId> m_groups; ///< By the ids of the targets that a request may go to.
+    std::map<std::vector<std::uint32_t>, Admission::GroupId> m_groups; ///< By the sorted ids of the allowed targets.
     std::unordered_map<std::uint32_t, std::vector<Admission::GroupId>> m_groupsOfTarget;
     Admission::GroupId m_nextGroup { 1 };
-    std::unordered_map<std::uint32_t, std::uint32_t> m_limits; ///< In flight at each known target; 0 while it is closed.
+    std::unordered_map<std::uint32_t, std::uint32_t> m_limits; ///< Maximum in flight per known target; 0 while it is closed.
     std::vector<std::uint32_t> m_knownTargets;
-    std::unordered_map<std::uint32_t, Routing::TargetRole> m_roles; ///< Of the known targets, now.
+    std::unordered_map<std::uint32_t, Routing::TargetRole> m_roles; ///< Current roles of the known targets.
     std::vector<Routing::Candidate> m_candidates; ///< Reused between decisions.
     std::vector<std::uint32_t> m_candidatePositions;
-    std::vector<std::size_t> m_failingCandidates; ///< Reused: places of outliers that are closed for that alone.
-    std::vector<std::uint64_t> m_homeKeys; ///< Reused: keys of the open prefill candidates,
-    std::vector<std::size_t> m_homeCandidates; ///< and their places among the candidates.
+    std::vector<std::size_t> m_failingCandidates; ///< Reused: indices of candidates closed only as outliers.
+    std::vector<std::uint64_t> m_homeKeys; ///< Reused: keys of the open prefill candidates.
+    std::vector<std::size_t> m_homeCandidates; ///< Reused: their indices among the candidates.
 };
 
 }
--- a/Libraries/LibDaemon/DispatcherFleet.cpp
+++ b/Libraries/LibDaemon/DispatcherFleet.cpp
@@ -1,4 +1,4 @@
-// The part of Dispatcher that takes what is known of targets: the fleet, reports, outcomes, and what peers say.
+// The part of Dispatcher that updates the state of targets: fleet, load reports, outcomes and peer messages.
 
 #include <LibCore/EventLog.h>
 #include <LibDaemon/Dispatcher.h>
@@ -12,7 +12,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-// Outcomes come some ten a second; a target that fails all is found within this, once there are enough of them.
+// Outcomes arrive about ten times a second. With enough of them, a failing target is detected within this interval.
 constexpr std::chrono::milliseconds outlierInterval { 100 };
 
 }
@@ -68,7 +68,7 @@
 {
     if (target.isClosed())
         return 0;
-    // A plain service tells how much it takes; an engine queues by urgency itself.
+    // A plain service reports its slots; an engine queues requests by urgency itself.
     bool isPlain = target.kind == Platform::VmKind::Service;
     return isPlain && target.slots != 0 ? std::min(target.slots, m_inFlightPerTarget) : m_inFlightPerTarget;
 }
@@ -78,7 +78,7 @@
     std::lock_guard lock(m_mutex);
     Clock::time_point now = Clock::now();
     m_health.note(targetKey, outcome, now);
-    // A refusal costs a try elsewhere, no answer. Whether a target can be reached at all is `m_health`'s alone.
+    // A refusal is retried elsewhere and loses no response, so that it is not counted. `m_health` handles unreachable targets.
     if (outcome == Routing::TargetOutcome::Answered)
         m_outliers.note(targetKey, true, now);
     else if (outcome == Routing::TargetOutcome::Failed || outcome == Routing::TargetOutcome::Broken)
@@ -88,7 +88,7 @@
 std::vector<Routing::HeldPart> Dispatcher::takeHeldParts()
 {
     std::lock_guard lock(m_mutex);
-    return std::exchange(m_untoldParts, {});
+    return std::exchange(m_unreportedParts, {});
 }
 
 void Dispatcher::takePeerParts(std::vector<Routing::HeldPart> const& parts)
--- a/Libraries/LibDaemon/DispatcherNotices.cpp
+++ b/Libraries/LibDaemon/DispatcherNotices.cpp
@@ -1,4 +1,4 @@
-// The part of Dispatcher that heeds what targets say of themselves in their answers.
+// The part of Dispatcher that handles the notices that targets send in their responses.
 
 #include <LibDaemon/DispatcherWaiter.h>
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 using Clock = std::chrono::steady_clock;
 
-// Of the wait that callers are told where all targets want nothing, the reciprocal.
-constexpr int partOfPauseSpread = 4;
+// If all targets are paused, up to the wait divided by this is added to Retry-After at random.
+constexpr int pauseSpreadDivisor = 4;
 
 }
 
@@ -28,8 +28,8 @@
     return limit != m_limits.end() && limit->second > 0 && !m_notices.isClosed(target.key, Core::BootClock::now());
 }
 
-// When the first of the targets opens that the request may go to; nothing where any of them is not waited for, or none is.
-std::optional<Core::BootClock::time_point> Dispatcher::nextOpening(PlacementRequest const& request) const
+// Returns when the first paused target of the request reopens; nullopt if one is open already or none is paused.
+std::optional<Core::BootClock::time_point> Dispatcher::nextReopening(PlacementRequest const& request) const
 {
     Core::BootClock::time_point now = Core::BootClock::now();
     std::optional<Core::BootClock::time_point> first;
@@ -50,7 +50,7 @@
 }
 
 // Called with the mutex held.
-void Dispatcher::serveOpened(PlacementRequest const& request)
+void Dispatcher::retryReopenedTargets(PlacementRequest const& request)
 {
     for (std::uint32_t position : request.allowed) {
         std::uint32_t id = request.fleet->targets[position].id;
@@ -58,20 +58,20 @@
         if (limit != m_limits.end())
             resolve(m_admission->setTarget(id, limit->second, m_groupsOfTarget[id]));
     }
-    drainOutcomes();
+    applyAdmissionResults();
 }
 
-// Called with the mutex held. All targets have said that they want nothing until it is too late: nobody is held up for that.
-void Dispatcher::refusePaused(Waiter& waiter, Core::BootClock::duration left)
+// Called with the mutex held. All targets are paused beyond the latest start, so that the request is refused at once.
+void Dispatcher::rejectWhilePaused(Waiter& waiter, Core::BootClock::duration left)
 {
     std::ignore = m_admission->release(waiter.outcome.id, Clock::now());
-    drainOutcomes();
+    applyAdmissionResults();
     std::uint64_t id = waiter.outcome.id;
     waiter.outcome.position.reset();
-    waiter.outcome.error = Core::makeError(Core::ErrorCode::Unavailable, "all targets want no requests for a while");
-    // Spread, so that those who are refused together do not come back together.
+    waiter.outcome.error = Core::makeError(Core::ErrorCode::Unavailable, "all targets have paused new requests");
+    // Randomized, so that callers refused at the same time do not retry at the same time.
     std::chrono::milliseconds wait = std::chrono::ceil<std::chrono::milliseconds>(left);
-    std::uniform_int_distribution<std::chrono::milliseconds::rep> spread(0, wait.count() / partOfPauseSpread);
+    std::uniform_int_distribution<std::chrono::milliseconds::rep> spread(0, wait.count() / pauseSpreadDivisor);
     waiter.outcome.retryAfter = wait + std::chrono::milliseconds(spread(m_random));
     waiter.isResolved = true;
     m_waiters.erase(id);
--- a/Libraries/LibDaemon/DispatcherSpeeds.cpp
+++ b/Libraries/LibDaemon/DispatcherSpeeds.cpp
@@ -1,4 +1,4 @@
-// The part of Dispatcher that learns how fast engines are, and measures what requests ask of them.
+// The part of Dispatcher that measures the speed of engines and the demand of requests on them.
 
 #include <LibDaemon/DispatcherWaiter.h>
 #include <algorithm>
@@ -16,17 +16,17 @@
 
 }
 
-void Dispatcher::promptComputed(std::uint64_t id, Clock::duration duration)
+void Dispatcher::notePromptTime(std::uint64_t id, Clock::duration duration)
 {
     std::lock_guard lock(m_mutex);
     std::unordered_map<std::uint64_t, std::shared_ptr<Waiter>>::iterator it = m_waiters.find(id);
-    if (it == m_waiters.end() || !it->second->outcome.position || !it->second->isAlone)
+    if (it == m_waiters.end() || !it->second->outcome.position || !it->second->isOnlyPrompt)
         return;
     Waiter const& waiter = *it->second;
     std::uint64_t key = waiter.request.fleet->targets[*waiter.outcome.position].key;
-    // Others that were sent there meanwhile shared the engine with it.
-    constexpr double nothing = 1e-6;
-    if (m_openWork.total(key, Clock::now()).prefillSeconds > waiter.work.prefillSeconds + nothing)
+    // Prompts that were sent there in the meantime shared the engine with it.
+    constexpr double negligibleSeconds = 1e-6;
+    if (m_openWork.total(key, Clock::now()).prefillSeconds > waiter.work.prefillSeconds + negligibleSeconds)
         return;
     m_speeds.notePrompt(waiter.request.work, key, { waiter.promptTokens, waiter.request.shape.promptTokens, secondsOf(duration) });
 }
@@ -47,7 +47,7 @@
     return outputSeconds(fleet, service, shape, Clock::now());
 }
 
-// On average engines; 0 where it is not known. Called with the mutex held.
+// Returns the time on an average engine; 0 if unknown. Called with the mutex held.
 double Dispatcher::outputSeconds(FleetSnapshot const& fleet, std::string const& service, Routing::RequestShape const& shape, Clock::time_point now) const
 {
     State::ServiceTerms const* terms = fleet.services ? fleet.services->find(service) : nullptr;
@@ -57,8 +57,8 @@
     return events * m_speeds.speed(service, now).eventSeconds;
 }
 
-// Called with the mutex held, once a request. What a prompt shares with others is taken to be kept: that it must be computed
-// first, at the start of a day and wherever a target is lost, says nothing of the mix.
+// Called with the mutex held. Counts each request once, at its first attempt. Shared prefixes count as cached: computing them
+// once after a start or the loss of a target is not part of the steady demand.
 void Dispatcher::noteDemand(PlacementRequest const& request)
 {
     bool isFirst = request.shape.phase == Routing::Phase::WholeOrPrefill && request.excluded.empty();
@@ -70,7 +70,7 @@
     Routing::RequestShape const& shape = request.shape;
     double promptSeconds = m_speeds.speed(request.work, now).promptCost.seconds(shape.promptTokens - std::min(shape.sharedTokens, shape.promptTokens), shape.promptTokens);
     double seconds = outputSeconds(*request.fleet, request.work, shape, now);
-    // While an output is made it holds its prompt, and half of itself on average.
+    // While an output is generated, the KV cache holds its prompt and, on average, half of the output.
     double tokens = shape.promptTokens + shape.expectedOutputTokens / 2.0;
     m_demand.note(request.work, { promptSeconds, seconds, seconds * tokens }, now);
 }
--- a/Libraries/LibDaemon/DispatcherWaiter.h
+++ b/Libraries/LibDaemon/DispatcherWaiter.h
@@ -15,10 +15,10 @@
     PlacementRequest request;
     boost::asio::steady_timer timer;
     PlacementOutcome outcome;
-    std::uint32_t promptTokens { 0 }; ///< Left to compute at the chosen target, after its cached prefix.
-    bool isAlone { false }; ///< No other prompt is known to have been at the chosen target when this one was sent.
-    bool computesShared { false }; ///< No daemon is known to have had its shared part computed there.
-    Routing::TargetWork work; ///< That it adds to the chosen target's.
+    std::uint32_t promptTokens { 0 }; ///< Prompt tokens left to compute at the chosen target, after its cached prefix.
+    bool isOnlyPrompt { false }; ///< No other prompt was known to be running at the chosen target when this one was sent.
+    bool computesSharedPrefix { false }; ///< The shared prefix is not known to be cached there yet.
+    Routing::TargetWork work; ///< Work that the request adds to the chosen target.
     std::chrono::steady_clock::time_point sentAt; ///< When its target was chosen.
     bool isResolved { false };
     bool isPrefilled { false };
--- a/Libraries/LibDaemon/Eligibility.cpp
+++ b/Libraries/LibDaemon/Eligibility.cpp
@@ -16,7 +16,7 @@
         if (selected.contains(position))
             eligible.push_back(position);
     }
-    // A service that is configured and has no target now may have one soon.
+    // A configured service without targets may get one soon, so that the error is temporary.
     bool isConfigured = fleet.services && fleet.services->find(work.name);
     std::string what = (work.kind == Work::Kind::Model ? "model \"" : "service \"") + work.name + "\"";
     if (isConfigured && eligible.empty())
--- a/Libraries/LibDaemon/Eligibility.h
+++ b/Libraries/LibDaemon/Eligibility.h
@@ -8,9 +8,9 @@
 
 namespace Daemon {
 
-/// Returns the positions of the targets that serve what the request names and that the operators' routes allow it.
-/// Errors (not run): NotFound when no target serves it, NotAllowed when no route lets it go to one that does.
-/// Thread-safe.
+/// Returns the indices of the targets that serve the requested model or service and that the configured routes allow.
+/// Errors (not run): NotFound if no target serves it, Unavailable if it is configured but has no eligible target now,
+/// NotAllowed if no route permits the targets that serve it. Thread-safe.
 Core::Result<std::vector<std::uint32_t>> eligibleTargets(FleetSnapshot const&, Work const&);
 
 }
--- a/Libraries/LibDaemon/FleetSnapshot.h
+++ b/Libraries/LibDaemon/FleetSnapshot.h
@@ -17,36 +17,36 @@
 
 namespace Daemon {
 
-/// A target as the traffic threads see it.
+/// A target, as used by the traffic threads.
 struct FleetTarget {
-    std::uint32_t id { 0 }; ///< Stays the same while this process knows the target's key.
-    std::uint64_t key { 0 }; ///< Of its name, and of its start where it tells that: the same at every daemon.
+    std::uint32_t id { 0 }; ///< Stable while this process knows the target's key.
+    std::uint64_t key { 0 }; ///< Hash of its name and, if reported, its start. The same at every daemon.
     std::string name;
     boost::asio::ip::tcp::endpoint endpoint;
     Platform::VmKind kind { Platform::VmKind::Engine };
-    std::string model; ///< Of an engine: what it serves.
-    std::string service; ///< Of a plain service: its name.
-    std::string pool; ///< The lease that orders to it belong to.
-    std::string incarnation; ///< What requests to it name as the one they are meant for; empty while unknown.
-    std::uint64_t bornAtMs { 0 }; ///< When it started, Unix milliseconds as it says; 0: not told.
+    std::string model; ///< The model that an engine serves.
+    std::string service; ///< The name of a plain service.
+    std::string pool; ///< The lease under which orders are sent to it.
+    std::string incarnation; ///< Sent with requests to identify the intended process; empty if unknown.
+    std::uint64_t bornAtMs { 0 }; ///< Reported start time, in Unix milliseconds; 0 if not reported.
     Routing::TargetRole role { Routing::TargetRole::Mixed };
     Routing::ZoneDistance distance { Routing::ZoneDistance::SameZone };
     std::string availabilityZone;
-    std::uint32_t slots { 0 }; ///< Requests that it runs at once; 0: not known.
-    std::uint64_t kvCapacityTokens { 0 }; ///< 0: not known.
-    std::string release; ///< Of its software; empty: not told.
-    bool isLeaving { false }; ///< It has said that it will end.
-    bool isReclaimable { false }; ///< The platform may take it back at short notice.
-    std::string closedBecause; ///< Why it gets no new work; empty while it is open.
+    std::uint32_t slots { 0 }; ///< Maximum requests that it runs concurrently; 0 if unknown.
+    std::uint64_t kvCapacityTokens { 0 }; ///< 0 if unknown.
+    std::string release; ///< Its software version; empty if not reported.
+    bool isLeaving { false }; ///< It has announced that it shuts down.
+    bool isReclaimable { false }; ///< The platform may reclaim it at short notice (a spot VM).
+    std::string closeReason; ///< Why it gets no new requests; empty while it is open.
 
-    bool isClosed() const { return !closedBecause.empty(); }
+    bool isClosed() const { return !closeReason.empty(); }
 
     /// The name that requests use: a model or a plain service.
     std::string const& work() const { return kind == Platform::VmKind::Engine ? model : service; }
 };
 
-/// Returns the key of a target: the same at every daemon, and another one when the target starts again under its name. `start`
-/// tells the starts of one name apart. Thread-safe.
+/// Returns the key of a target. It is the same at every daemon and changes when the target restarts under the same name;
+/// `start` distinguishes these starts. Thread-safe.
 std::uint64_t targetKeyOf(std::string_view name, std::uint64_t start);
 std::uint64_t targetKeyOf(std::string_view name, std::string_view start);
 
@@ -60,23 +60,23 @@
     std::uint32_t openRequests { 0 };
 };
 
-/// All that traffic threads need to route, at one moment. Immutable, so that threads share it without locks.
+/// The routing state at one point in time. Immutable, so that traffic threads share it without locks.
 struct FleetSnapshot {
-    std::shared_ptr<State::TargetView const> view; ///< Its positions are those of `targets`.
+    std::shared_ptr<State::TargetView const> view; ///< Uses the same indices as `targets`.
     std::vector<FleetTarget> targets;
-    std::vector<EntryAddress> entries; ///< Live and not leaving; nearest first, then less loaded first.
-    std::vector<EntryAddress> peers; ///< All other daemons on the VM list, leaving ones too.
-    std::shared_ptr<State::ServiceConfig const> services; ///< Null where operators edit objects one by one.
-    std::uint64_t configVersion { 0 }; ///< For logs: the version, or the offset behind the last record.
-    Core::BootClock::time_point madeAt { Core::BootClock::now() }; ///< For logs: what it says is at least as old.
-    /// Whatever the store had taken by then is in the list of targets, as far as the daemon knows now; null where the platform
-    /// does not have such a list. The control thread moves it on, for this snapshot and those after it.
+    std::vector<EntryAddress> entries; ///< Live daemons that are not leaving, sorted by distance, then by load.
+    std::vector<EntryAddress> peers; ///< All other daemons on the VM list, including leaving ones.
+    std::shared_ptr<State::ServiceConfig const> services; ///< Null if operators edit configuration objects individually.
+    std::uint64_t configVersion { 0 }; ///< For logs: the version, or the offset after the last record.
+    Core::BootClock::time_point createdAt { Core::BootClock::now() }; ///< For logs: the data is at least this old.
+    /// The list of targets is known to include everything that the store had accepted by this time. Null if the platform has
+    /// no such list. The control thread advances it for this snapshot and all later ones.
     std::shared_ptr<std::atomic<Core::BootClock::time_point> const> listConfirmedAt;
-    /// The same of the configuration.
+    /// The same for the configuration.
     std::shared_ptr<std::atomic<Core::BootClock::time_point> const> configConfirmedAt;
     bool isReady { false }; ///< The configuration and the VM list have both been read once.
 
-    /// Returns how old the configuration may be; nothing: that is not known.
+    /// Returns an upper bound on the age of the configuration; nullopt if it is unknown.
     std::optional<std::chrono::milliseconds> configurationAge() const
     {
         Core::BootClock::time_point confirmedAt = configConfirmedAt ? configConfirmedAt->load() : Core::BootClock::time_point();
--- a/Libraries/LibDaemon/LeaveTimes.h
+++ b/Libraries/LibDaemon/LeaveTimes.h
@@ -4,17 +4,17 @@
 
 namespace Daemon {
 
-/// When a daemon that leaves ends, and until when callers may rightly come: those that asked for the list before it left.
+/// When a leaving daemon exits, and until when callers with an older list of daemons may still connect.
 struct LeaveTimes {
     using Time = std::chrono::steady_clock::time_point;
 
     Time holdEnds;
-    Time processEnds; ///< `Time::max()`: when its last request has.
+    Time processEnds; ///< `Time::max()`: the process exits after its last request.
 
-    /// Whether to take a request that may last until `timeout` is over and is expected to last `expected`; 0: not known.
-    /// One that would be cut by the process's end is better told at once that it has not run: another daemon serves it.
-    /// Behind the hold nobody needs to come any more, and what might be cut is not begun on an estimate. Thread-safe.
-    bool takes(std::chrono::duration<double> timeout, std::chrono::duration<double> expected, Time now) const
+    /// Returns whether to accept a request with this timeout and expected duration (0 if unknown). A request that would be
+    /// interrupted by the exit is rejected at once as not run, so that another daemon can serve it. After `holdEnds`, no
+    /// caller should still connect, so that the estimate is ignored and the whole timeout must fit. Thread-safe.
+    bool accepts(std::chrono::duration<double> timeout, std::chrono::duration<double> expected, Time now) const
     {
         if (processEnds == Time::max())
             return true;
--- a/Libraries/LibDaemon/MixCounter.cpp
+++ b/Libraries/LibDaemon/MixCounter.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-// From this length on a prompt's computation lengthens the time between tokens of requests beside it.
+// From this length on, computing a prompt noticeably delays the tokens of concurrent requests on the same engine.
 constexpr std::uint32_t longPromptTokens = 1'000;
 
 Roles::ClassCounts& countsOf(Roles::MixCounts& counts, std::uint32_t promptTokens)
--- a/Libraries/LibDaemon/MixCounter.h
+++ b/Libraries/LibDaemon/MixCounter.h
@@ -8,19 +8,19 @@
 
 namespace Daemon {
 
-/// Counts, per pool of engines, the prompts and the output that requests of this daemon asked for. Thread-safe.
+/// Counts, per engine pool, the prompts and outputs of this daemon's requests. Thread-safe.
 class MixCounter {
 public:
-    /// Notes a request that was offered, whether it was let in or not.
+    /// Counts an incoming request, whether it is admitted or not.
     void offered(std::string const& pool, std::uint32_t promptTokens);
 
-    /// Notes the end of a request that was offered with that prompt.
+    /// Counts the end of a request that was counted by `offered` with the same prompt length.
     void ended(std::string const& pool, std::uint32_t promptTokens, std::uint64_t outputTokens);
 
-    /// Returns and clears what was counted since the last call.
+    /// Returns and resets the counts.
     std::map<std::string, Roles::MixCounts> take();
 
-    /// Returns the class of a prompt.
+    /// Returns the length class of a prompt.
     static Roles::PromptClass classOf(std::uint32_t promptTokens);
 
 private:
@@ -28,7 +28,7 @@
     std::map<std::string, Roles::MixCounts> m_counts;
 };
 
-/// Adds counts up.
+/// Adds `counts` to `sum`.
 void add(Roles::MixCounts& sum, Roles::MixCounts const& counts);
 
 }
--- a/Libraries/LibDaemon/OperatorApi.cpp
+++ b/Libraries/LibDaemon/OperatorApi.cpp
@@ -179,7 +179,7 @@
         object["in_flight"] = m_dispatcher.inFlightAt(target.id);
         object["labels"] = fleet.view->labels(*fleet.view->positionOf(target.name)).toString();
         if (target.isClosed())
-            object["closed_because"] = target.closedBecause;
+            object["closed_because"] = target.closeReason;
         targets.push_back(std::move(object));
     }
     boost::json::array daemons;
@@ -246,7 +246,7 @@
         one["name"] = target.name;
         one["allowed"] = !routes.empty();
         one["routes"] = std::move(routes);
-        one["closed_because"] = target.closedBecause;
+        one["closed_because"] = target.closeReason;
         targets.push_back(std::move(one));
     }
     boost::json::object body;
--- a/Libraries/LibDaemon/QuarantineExchange.cpp
+++ b/Libraries/LibDaemon/QuarantineExchange.cpp
@@ -15,12 +15,12 @@
 
 }
 
-void logFindings(std::vector<Quarantine::Finding> const& findings, std::string const& toldBy)
+void logFindings(std::vector<Quarantine::Finding> const& findings, std::string const& reportedBy)
 {
     for (Quarantine::Finding const& it : findings) {
-        Core::logEvent(Core::Severity::Info, Core::Event::RequestSuspected, { { "work_key", toLogText(it.key) }, { "target", it.target.name }, { "ends", std::to_string(it.ends) }, { "told_by", toldBy } });
+        Core::logEvent(Core::Severity::Info, Core::Event::RequestSuspected, { { "work_key", toLogText(it.key) }, { "target", it.target.name }, { "ends", std::to_string(it.ends) }, { "told_by", reportedBy } });
         if (it.isRefused)
-            Core::logEvent(Core::Severity::Warning, Core::Event::RequestQuarantined, { { "work_key", toLogText(it.key) }, { "service", it.target.service }, { "target", it.target.name }, { "ends", std::to_string(it.ends) }, { "told_by", toldBy } });
+            Core::logEvent(Core::Severity::Warning, Core::Event::RequestQuarantined, { { "work_key", toLogText(it.key) }, { "service", it.target.service }, { "target", it.target.name }, { "ends", std::to_string(it.ends) }, { "told_by", reportedBy } });
     }
 }
 
@@ -51,14 +51,14 @@
     std::vector<Quarantine::SuspectNews> news = beacon.suspectNews;
     std::map<std::string, Fleet::BookedDaemon>::const_iterator sender = m_book.daemons().find(beacon.sender.name);
     std::chrono::milliseconds heldUp = sender == m_book.daemons().end() ? std::chrono::milliseconds(0) : sender->second.heldUp;
-    // Moments are by the sender's clock.
+    // The times in the message are by the sender's clock.
     Clock::time_point saidAt = now - heldUp;
     for (Quarantine::SuspectNews& it : news) {
         it.at = saidAt - std::max(Clock::duration::zero(), beacon.state.saidAt - it.at);
         it.begunAt = saidAt - std::max(Clock::duration::zero(), beacon.state.saidAt - it.begunAt);
-        // Whoever wrote a request down takes it back.
+        // The daemon that stored a request also deletes its record when it is cleared.
         if (!it.ended && m_stored.contains(it.key))
-            m_toStore.insert(it.key);
+            m_pendingWrites.insert(it.key);
     }
     logFindings(m_guard.take(news), beacon.sender.name);
 }
@@ -67,25 +67,25 @@
 {
     logFindings(findings, m_self);
     for (Quarantine::Finding const& it : findings) {
-        if (it.ends >= endsToStore)
-            m_toStore.insert(it.key);
+        if (it.ends >= minEndsToStore)
+            m_pendingWrites.insert(it.key);
     }
     if (!findings.empty())
-        m_hooks.tellSoon();
+        m_hooks.requestBeacon();
 }
 
 void QuarantineExchange::noteCleared(Quarantine::WorkKey const& key)
 {
     Core::logEvent(Core::Severity::Info, Core::Event::RequestCleared, { { "work_key", toLogText(key) } });
     if (m_stored.contains(key))
-        m_toStore.insert(key);
-    m_hooks.tellSoon();
+        m_pendingWrites.insert(key);
+    m_hooks.requestBeacon();
 }
 
 Core::Result<RecordsAnswer> QuarantineExchange::extract() const
 {
     if (!m_catchUp.isCaughtUp())
-        return Core::fail(Core::ErrorCode::Unavailable, "the suspects are not all known here");
+        return Core::fail(Core::ErrorCode::Unavailable, "suspect records are not complete on this daemon yet");
     RecordsAnswer answer;
     answer.extract.isAll = true;
     Clock::time_point now = Clock::now();
@@ -94,8 +94,8 @@
     return answer;
 }
 
-// Returns whether they changed anything.
-bool QuarantineExchange::takeRecords(std::vector<Platform::KeyedRecord> const& records, std::string const& toldBy)
+// Returns whether the records changed anything.
+bool QuarantineExchange::takeRecords(std::vector<Platform::KeyedRecord> const& records, std::string const& reportedBy)
 {
     std::uint64_t before = m_guard.digest();
     Clock::time_point now = Clock::now();
@@ -105,7 +105,7 @@
             continue;
         Core::Result<Quarantine::Suspect> suspect = decodeSuspect(record.key, *record.value, now);
         if (suspect.has_error()) {
-            Core::logEvent(Core::Severity::Error, Core::Event::PeerRecords, { { "stream", "suspects" }, { "daemon", toldBy }, { "error", suspect.error().message } });
+            Core::logEvent(Core::Severity::Error, Core::Event::PeerRecords, { { "stream", "suspects" }, { "daemon", reportedBy }, { "error", suspect.error().message } });
             continue;
         }
         for (Quarantine::TargetEnd const& end : suspect.value().ends)
@@ -113,7 +113,7 @@
         if (suspect.value().survivedAt != Clock::time_point())
             news.push_back({ suspect.value().key, std::nullopt, suspect.value().survivedAt, suspect.value().survivedAt });
     }
-    logFindings(m_guard.take(news), toldBy);
+    logFindings(m_guard.take(news), reportedBy);
     return m_guard.digest() != before;
 }
 
@@ -126,7 +126,7 @@
     }
     if (m_isCalling || now < m_nextCall)
         return;
-    if (!m_toStore.empty()) {
+    if (!m_pendingWrites.empty()) {
         m_isCalling = true;
         boost::asio::co_spawn(
             m_context, [this] { return store(); }, boost::asio::detached);
@@ -145,13 +145,13 @@
         co_return;
     }
     RecordsRequest request { Platform::StoreTopic::Suspects, 0, true };
-    Core::Result<RecordsAnswer> told = co_await m_records.ask(it->second.listed.peerAddress, request);
+    Core::Result<RecordsAnswer> answer = co_await m_records.ask(it->second.listed.peerAddress, request);
     if (m_isStopped)
         co_return;
-    bool isNews = told.has_value() && takeRecords(told.value().extract.records, peer);
-    m_catchUp.noteAnswer(told.has_value(), isNews, Clock::now());
-    std::string problem = told.has_error() ? told.error().message : "-";
-    Core::logEvent(told.has_error() ? Core::Severity::Info : Core::Severity::Debug, Core::Event::PeerRecords, { { "stream", "suspects" }, { "daemon", peer }, { "news", isNews ? "yes" : "no" }, { "error", problem } });
+    bool isNews = answer.has_value() && takeRecords(answer.value().extract.records, peer);
+    m_catchUp.noteAnswer(answer.has_value(), isNews, Clock::now());
+    std::string problem = answer.has_error() ? answer.error().message : "-";
+    Core::logEvent(answer.has_error() ? Core::Severity::Info : Core::Severity::Debug, Core::Event::PeerRecords, { { "stream", "suspects" }, { "daemon", peer }, { "news", isNews ? "yes" : "no" }, { "error", problem } });
 }
 
 boost::asio::awaitable<void> QuarantineExchange::load()
@@ -171,8 +171,8 @@
         m_isLoaded = !page.value().hasMore || page.value().records.empty();
         if (m_isLoaded) {
             m_catchUp.noteLoaded();
-            // Those that start at the same time wait for this.
-            m_hooks.tellSoon();
+            // Daemons that start at the same time wait for this one to be caught up.
+            m_hooks.requestBeacon();
             break;
         }
         after = page.value().records.back().key;
@@ -182,11 +182,11 @@
 
 boost::asio::awaitable<void> QuarantineExchange::store()
 {
-    Quarantine::WorkKey key = *m_toStore.begin();
+    Quarantine::WorkKey key = *m_pendingWrites.begin();
     std::optional<Quarantine::Suspect> suspect = m_guard.suspect(key);
     bool isSuspected = suspect && !suspect->ends.empty();
     m_hooks.countStoreCall(Fleet::StoreCallReason::Suspect);
-    // An empty value takes the record back.
+    // An empty value deletes the record.
     std::string value = isSuspected ? encode(*suspect, Clock::now()) : std::string();
     Core::Result<Platform::ConditionalAppend> appended = co_await m_store.append(Platform::StoreTopic::Suspects, Request::toString(key), value, std::nullopt);
     if (m_isStopped)
@@ -196,11 +196,11 @@
         m_nextCall = Clock::now() + retryDelay;
         co_return;
     }
-    // What came meanwhile is written with the next one.
+    // Ends that were added during the call are written by the next one.
     std::optional<Quarantine::Suspect> now = m_guard.suspect(key);
     bool isCurrent = (now ? now->ends.size() : 0) == (suspect ? suspect->ends.size() : 0);
     if (isCurrent)
-        m_toStore.erase(key);
+        m_pendingWrites.erase(key);
     if (isSuspected)
         m_stored.insert(key);
     else
--- a/Libraries/LibDaemon/QuarantineExchange.h
+++ b/Libraries/LibDaemon/QuarantineExchange.h
@@ -13,52 +13,52 @@
 
 namespace Daemon {
 
-/// Logs what evidence made of requests. `toldBy` is a daemon's name. Thread-safe.
-void logFindings(std::vector<Quarantine::Finding> const&, std::string const& toldBy);
+/// Logs requests that became suspected or quarantined. `reportedBy` is the daemon that reported them, or `store`. Thread-safe.
+void logFindings(std::vector<Quarantine::Finding> const&, std::string const& reportedBy);
 
-/// Shares what is known of requests that end targets. Daemons tell each other at once, in beacons, and again for a while; one
-/// that missed something sees that digests differ and asks. The store keeps requests that are close to being refused, for a site
-/// of which no daemon is left. Use from the control thread only.
+/// Shares the requests suspected of crashing targets between daemons. Daemons send news in beacons at once and repeat them
+/// for a while; a daemon that missed some sees a different digest and asks for all records. Requests that are close to
+/// quarantine are also written to the store, in case all daemons of a site stop. Use from the control thread only.
 class QuarantineExchange {
 public:
     struct Hooks {
-        std::function<void()> tellSoon; ///< Asks for a beacon before the next regular one.
+        std::function<void()> requestBeacon; ///< Requests a beacon before the next regular one.
         std::function<void(Fleet::StoreCallReason)> countStoreCall;
     };
 
-    /// Preconditions: all parts outlive the object.
+    /// Precondition: all referenced objects outlive this one.
     QuarantineExchange(boost::asio::io_context&, Quarantine::Guard&, Platform::KeyedStore&, RecordExchange&, Fleet::DaemonBook const&, std::string self, Hooks);
 
-    /// Adds what there is to say to a beacon.
+    /// Adds recent news and the digest to an outgoing beacon.
     void describe(BeaconMessage&, Core::BootClock::time_point now) const;
 
-    /// Takes a peer's beacon.
+    /// Handles a beacon of a peer.
     void take(BeaconMessage const&, Core::BootClock::time_point now);
 
-    /// Takes what this daemon's own runs have shown.
+    /// Handles findings from runs of this daemon.
     void noteFindings(std::vector<Quarantine::Finding> const&);
 
-    /// Notes that this daemon's own run cleared a request.
+    /// Records that a run of this daemon cleared a request.
     void noteCleared(Quarantine::WorkKey const&);
 
-    /// Returns all that is known, for a peer. Errors: Unavailable until this daemon has caught up.
+    /// Returns all suspect records, for a peer. Errors: Unavailable until this daemon has caught up.
     Core::Result<RecordsAnswer> extract() const;
 
-    /// Whether this daemon knows what the others, or the store, knew of suspected requests when it started.
+    /// Returns whether this daemon has the suspect records that its peers or the store had when it started.
     bool isCaughtUp() const { return m_catchUp.isCaughtUp(); }
 
-    /// Asks, reads and writes what is due, some ten times a second. `readsStore`: this daemon is one of the few that read the
-    /// store for the site.
+    /// Starts queries to peers and store calls that are due. Called about ten times a second. `readsStore`: this daemon is one
+    /// of the few that read the store for the site.
     void tick(bool readsStore, Core::BootClock::time_point now);
 
-    /// Ends what is under way.
+    /// Stops operations in progress.
     void stop() { m_isStopped = true; }
 
 private:
-    static constexpr std::size_t endsToStore = 2; ///< Most suspects have one, and are innocent.
-    static constexpr std::chrono::milliseconds retryDelay { 1'000 }; ///< After a call to the store that failed.
+    static constexpr std::size_t minEndsToStore = 2; ///< Most suspects have one end and are harmless.
+    static constexpr std::chrono::milliseconds retryDelay { 1'000 }; ///< After a failed store call.
 
-    bool takeRecords(std::vector<Platform::KeyedRecord> const&, std::string const& toldBy);
+    bool takeRecords(std::vector<Platform::KeyedRecord> const&, std::string const& reportedBy);
     boost::asio::awaitable<void> ask(std::string peer);
     boost::asio::awaitable<void> load();
     boost::asio::awaitable<void> store();
@@ -71,9 +71,9 @@
     std::string m_self;
     Hooks m_hooks;
     Quarantine::CatchUp m_catchUp;
-    std::set<Quarantine::WorkKey> m_stored; ///< Known to stand in the store.
-    std::set<Quarantine::WorkKey> m_toStore; ///< What the store has of them is out of date.
-    Core::BootClock::time_point m_nextCall; ///< To the store.
+    std::set<Quarantine::WorkKey> m_stored; ///< Known to be in the store.
+    std::set<Quarantine::WorkKey> m_pendingWrites; ///< Their records in the store are out of date.
+    Core::BootClock::time_point m_nextCall; ///< Earliest time of the next store call.
     bool m_isCalling { false };
     bool m_isLoaded { false };
     bool m_isStopped { false };
--- a/Libraries/LibDaemon/RequestAttempt.cpp
+++ b/Libraries/LibDaemon/RequestAttempt.cpp
@@ -1,4 +1,4 @@
-// The coroutines of RequestRunner that drive one attempt: placement, connection and answer.
+// The coroutines of RequestRunner for one attempt: placement, connection and response.
 
 #include <LibCore/EventLog.h>
 #include <LibDaemon/EventSplitter.h>
@@ -16,15 +16,15 @@
 
 constexpr std::chrono::milliseconds eventHeadTimeout { 10'000 };
 constexpr std::chrono::milliseconds eventTimeout { 5'000 };
-// A live engine answers at once whether it knows a stream; the caller waits while a dead one does not.
+// A live engine responds at once whether it knows a stream. The caller is kept waiting while a dead one times out.
 constexpr std::chrono::milliseconds resumeHeadTimeout { 2'000 };
-// Of a caller's patience, the part that a request may wait here for a target, the reciprocal.
-constexpr int partOfPatience = 4;
-// A refusal is small and its body follows its head.
+// A request may wait for a target for its first-piece limit divided by this.
+constexpr int firstPieceWaitDivisor = 4;
+// The body of a refusal is small and follows its head at once.
 constexpr std::chrono::milliseconds refusalTimeout { 500 };
-constexpr std::size_t mostWaitingEvents = 256;
-// A target that answers with what belongs to other requests this often in a row is not waited for any longer.
-constexpr int mostForeignAnswers = 2;
+constexpr std::size_t maxQueuedEvents = 256;
+// An attempt skips at most this many consecutive responses to other requests, then it fails.
+constexpr int maxForeignAnswers = 2;
 
 bool isEventStream(Http::ResponseHead const& head)
 {
@@ -40,10 +40,10 @@
     co_await timer.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ec));
 }
 
-boost::asio::awaitable<void> RequestRunner::postWithRoom(Request::RequestEvent event)
+boost::asio::awaitable<void> RequestRunner::postWithBackpressure(Request::RequestEvent event)
 {
-    while (m_events.size() >= mostWaitingEvents && !m_machine.isFinished())
-        co_await m_roomSignal.wait();
+    while (m_events.size() >= maxQueuedEvents && !m_machine.isFinished())
+        co_await m_queueSpaceSignal.wait();
     post(std::move(event));
 }
 
@@ -63,9 +63,9 @@
     request.excluded = std::move(excluded);
     request.kvZone = m_kvSource.empty() ? std::string() : m_kvZone;
     request.latestStart = m_machine.deadline();
-    // Who waits for a target for longer is better off coming back: a stream that begins late is given up by its caller.
+    // A longer wait is pointless, because callers abandon a stream that begins late; they should retry instead.
     if (m_work.firstPieceLimit.count() > 0)
-        request.latestStart = std::min(request.latestStart, Clock::now() + m_work.firstPieceLimit / partOfPatience);
+        request.latestStart = std::min(request.latestStart, Clock::now() + m_work.firstPieceLimit / firstPieceWaitDivisor);
     m_placement = m_context.dispatcher.nextId();
     Clock::time_point askedAt = Clock::now();
     PlacementOutcome outcome = co_await m_context.dispatcher.place(std::move(request), m_context.context.get_executor(), m_placement);
@@ -83,7 +83,7 @@
     post(Request::TargetPicked { leg->leg.attempt, m_target });
     if (!co_await connect(leg, *target) || finishIfQuarantined(leg))
         co_return;
-    // It may have said meanwhile that it leaves, or wants nothing now.
+    // The target may meanwhile have announced that it leaves or accepts no requests for now.
     if (!m_context.dispatcher.mayWrite(*target)) {
         post(Request::ConnectFailed { leg->leg, true, keepPrompt() });
         co_return;
@@ -100,8 +100,8 @@
     Core::Result<void> started = co_await leg->exchange->start(request);
     if (started.has_value())
         noteNotice(*target, leg->exchange->head());
-    // What an earlier request on this connection left behind comes first.
-    for (int n = 0; n < mostForeignAnswers && !leg->isAbandoned && started.has_value() && m_context.targets.judge(m_work, send, leg->exchange->head(), nullptr) == AnswerProof::Foreign; ++n) {
+    // Skips responses to earlier requests on this connection.
+    for (int n = 0; n < maxForeignAnswers && !leg->isAbandoned && started.has_value() && m_context.targets.judge(m_work, send, leg->exchange->head(), nullptr) == AnswerProof::Foreign; ++n) {
         started = co_await leg->exchange->skipResponse();
         if (started.has_value())
             noteNotice(*target, leg->exchange->head());
@@ -115,8 +115,8 @@
     co_await readAnswer(leg, send);
 }
 
-// Finds the attempt's target; on a prefill target it also has the prompt computed, and then finds the target
-// that decodes. Returns false when the attempt has ended here.
+// Chooses the attempt's target. If that is a prefill target, has the prompt computed there and then chooses the decode
+// target. Returns false if the attempt has ended.
 boost::asio::awaitable<bool> RequestRunner::placeAttempt(LegPointer leg, std::vector<std::string> excluded)
 {
     Routing::Phase phase = m_work.kind == Work::Kind::Model ? Routing::Phase::WholeOrPrefill : Routing::Phase::Whole;
@@ -136,7 +136,7 @@
             co_return false;
         }
         m_target = m_fleet->targets[*outcome.position].name;
-        // Prompts go by their length, outputs by the operators' priority.
+        // The urgency of a prompt depends on its length, that of an output on the configured priority.
         bool isPrompt = outcome.prefillSeconds > 0 && outcome.meanPrefillSeconds > 0;
         m_urgency = isPrompt ? Routing::urgencyOf(outcome.prefillSeconds, outcome.meanPrefillSeconds) : m_work.priority;
         if (outcome.decision.role != Routing::TargetRole::Prefill)
@@ -151,7 +151,7 @@
             post(Request::PromptComputed { leg->leg.attempt });
         if (kvSource.has_error()) {
             logPrefillFailure(kvSource.error());
-            // A prompt computed in vain has no effect; whether another target is tried is the machine's decision.
+            // Computing a prompt has no side effects, so that a retry is safe; the machine decides whether to make one.
             post(Request::ConnectFailed { leg->leg, !wasSent });
             co_return false;
         }
@@ -170,10 +170,10 @@
         m_context.dispatcher.noteOutcome(target->key, outcome);
 }
 
-// Noted before anything of the answer is passed on.
+// Called before any of the response is passed on.
 void RequestRunner::noteNotice(FleetTarget const& target, Http::ResponseHead const& head) const
 {
-    constexpr std::uint16_t misdirected = 421; // It speaks for another target.
+    constexpr std::uint16_t misdirected = 421; // The response comes from a different target.
     if (!m_context.targets.readNotice || head.status == misdirected)
         return;
     Routing::TargetNotice notice = m_context.targets.readNotice(head.status, head.fields);
@@ -259,24 +259,24 @@
         if (proof == AnswerProof::Replaced)
             noteEnded(*targetOf(m_target), "replaced");
         leg->exchange->setPieceTimeout(refusalTimeout);
-        // Read to its end, so that the connection can be used again.
-        std::ignore = co_await Http::readWhole(*leg->exchange, wholeBodyLimit);
+        // Reads the whole body, so that the connection can be reused.
+        std::ignore = co_await Http::readWhole(*leg->exchange, bufferedBodyLimit);
         logRefusal();
-        // A target that is full leaves the KV cache where it is, one that could not fetch it says the same: a second try tells.
+        // The target is either full or could not fetch the KV cache. The refusal does not say which: one retry reuses the cache.
         bool keepsPrompt = !std::exchange(m_hasReusedPrompt, true) && keepPrompt();
         post(Request::TargetRefused { leg->leg, keepsPrompt });
         co_return;
     }
     if (proof != AnswerProof::Answer) {
         finishRun();
-        postFailure(leg, Core::makeUncertainError(Core::ErrorCode::Unavailable, "the target answered " + std::to_string(leg->head.status) + " in a form that is no answer to this request"));
+        postFailure(leg, Core::makeUncertainError(Core::ErrorCode::Unavailable, "the target answered " + std::to_string(leg->head.status) + ", which is not a valid response to this request"));
         leg->exchange->cancel();
         co_return;
     }
-    // A plain service begins when it answers; an engine with its first event.
+    // A plain service has begun once it responds, an engine with its first event.
     if (!isEventStream(leg->head))
         noteBegun();
-    // From here on the decoding target has the KV cache.
+    // The decode target has fetched the KV cache by now.
     m_kvSource.clear();
     if (isEventStream(leg->head)) {
         post(Request::ResponseHead { leg->leg, leg->head.status });
@@ -312,21 +312,21 @@
         if (!events.empty()) {
             noteBegun();
             Clock::time_point now = Clock::now();
-            // What waited here since the last read came in one piece.
+            // Events that arrived together share the time since the last read.
             if (readAt)
                 m_context.dispatcher.noteEventGap(m_placement, (now - *readAt) / static_cast<int>(events.size()));
             readAt = now;
         }
         for (std::string& event : events) {
             std::string id(eventId(event));
-            // What was handed on before is not wanted twice, whatever the target takes the last event to be.
+            // Skips events that were already delivered, wherever the target resumes the stream.
             if (!continuedFrom.empty() && !isBehind(id, continuedFrom))
                 continue;
             if (!id.empty())
                 m_lastEventId = std::move(id);
-            // Named: g++ 12 destroys a braced temporary inside a co_await expression twice.
+            // A named variable, because g++ 12 destroys a braced temporary in a co_await expression twice.
             Request::RequestEvent next = Request::Piece { leg->leg, index, std::move(event), true };
-            co_await postWithRoom(std::move(next));
+            co_await postWithBackpressure(std::move(next));
             ++index;
         }
     }
@@ -338,8 +338,8 @@
         post(Request::StreamBroken { leg->leg });
 }
 
-// A body that is small is collected whole before any of it is delivered, so that an attempt which breaks leaves
-// the caller with nothing and another one may be made.
+// Buffers a small body whole before delivering any of it, so that a broken attempt can be retried without the caller
+// having received a part.
 boost::asio::awaitable<void> RequestRunner::readBody(LegPointer leg, TargetSend send)
 {
     leg->exchange->setPieceTimeout(timeLeft() + deadlineSlack);
@@ -357,12 +357,12 @@
         if (!piece.value())
             break;
         body += *piece.value();
-        if (body.size() <= wholeBodyLimit)
+        if (body.size() <= bufferedBodyLimit)
             continue;
         if (!std::exchange(isHeadPosted, true))
             post(Request::ResponseHead { leg->leg, leg->head.status });
         Request::RequestEvent next = Request::Piece { leg->leg, index++, std::exchange(body, std::string()), false };
-        co_await postWithRoom(std::move(next));
+        co_await postWithBackpressure(std::move(next));
     }
     if (m_context.targets.judge(m_work, send, leg->head, &body) == AnswerProof::NotRun) {
         finishRun();
--- a/Libraries/LibDaemon/RequestPrefill.cpp
+++ b/Libraries/LibDaemon/RequestPrefill.cpp
@@ -1,4 +1,4 @@
-// The part of RequestRunner that has a prompt computed apart from its output, and keeps or drops the KV cache.
+// The part of RequestRunner that runs a prefill on a separate target and keeps or releases its KV cache.
 
 #include <LibCore/EventLog.h>
 #include <LibDaemon/RequestRunner.h>
@@ -23,13 +23,13 @@
     if (connected.has_error())
         co_return Core::Result<std::string>(connected.error());
     if (leg->isAbandoned)
-        co_return Core::Result<std::string>(Core::makeError(Core::ErrorCode::Canceled, "the attempt was given up"));
-    // The leg's exchange, so that giving the attempt up ends the prefill too.
+        co_return Core::Result<std::string>(Core::makeError(Core::ErrorCode::Canceled, "the attempt was abandoned"));
+    // Owned by the leg, so that abandoning the attempt also ends the prefill.
     leg->exchange = std::move(connected.value());
     m_context.metrics.countConnection(leg->exchange->isOnKeptConnection());
-    if (std::optional<Core::Error> refusal = whyQuarantined())
+    if (std::optional<Core::Error> refusal = quarantineError())
         co_return Core::Result<std::string>(std::move(*refusal));
-    // It may have said meanwhile that it leaves, or wants nothing now.
+    // The target may meanwhile have announced that it leaves or accepts no requests for now.
     if (!m_context.dispatcher.mayWrite(*target))
         co_return Core::Result<std::string>(Core::makeError(Core::ErrorCode::Unavailable, "the target was closed before the prompt was written"));
     leg->exchange->setHeadTimeout(timeLeft() + deadlineSlack);
@@ -44,24 +44,24 @@
         co_return Core::Result<std::string>(started.error());
     }
     if (leg->isAbandoned)
-        co_return Core::Result<std::string>(Core::makeError(Core::ErrorCode::Canceled, "the attempt was given up"));
+        co_return Core::Result<std::string>(Core::makeError(Core::ErrorCode::Canceled, "the attempt was abandoned"));
     noteNotice(*target, leg->exchange->head());
-    Core::Result<Http::Response> response = co_await Http::readWhole(*leg->exchange, wholeBodyLimit);
+    Core::Result<Http::Response> response = co_await Http::readWhole(*leg->exchange, bufferedBodyLimit);
     if (leg->isAbandoned)
-        co_return Core::Result<std::string>(Core::makeError(Core::ErrorCode::Canceled, "the attempt was given up"));
+        co_return Core::Result<std::string>(Core::makeError(Core::ErrorCode::Canceled, "the attempt was abandoned"));
     if (response.has_error()) {
         noteOutcome(Routing::TargetOutcome::Broken);
         notePrefillBroken(response.error());
         co_return Core::Result<std::string>(response.error());
     }
-    // A prompt that was computed says nothing of its output.
+    // A completed prefill does not clear the request: its output may still crash a target.
     finishRun();
     Core::Result<std::string> kvSource = m_context.targets.readPrefill(*target, m_work, response.value());
     noteOutcome(outcomeOf(kvSource));
     if (kvSource.has_error() && kvSource.error().code == Core::ErrorCode::NotFound)
         noteEnded(*target, "replaced");
     if (kvSource.has_value())
-        m_context.dispatcher.promptComputed(m_placement, Clock::now() - sentAt);
+        m_context.dispatcher.notePromptTime(m_placement, Clock::now() - sentAt);
     co_return kvSource;
 }
 
@@ -78,7 +78,7 @@
     Core::logEvent(Core::Severity::Warning, Core::Event::AttemptFailed, { { "request", m_work.requestId }, { "work_key", toLogText(m_work.key) }, { "target", m_target }, { "step", "prefill" }, { "verdict", std::string(Core::toString(error.verdict)) }, { "error", error.message } });
 }
 
-// A KV cache that nobody fetches takes its target's memory until it expires there.
+// An unused KV cache occupies memory at its target until it expires there.
 void RequestRunner::dropKv()
 {
     std::string source = std::exchange(m_kvSource, std::string());
@@ -94,7 +94,7 @@
         Core::logEvent(Core::Severity::Debug, Core::Event::AttemptFailed, { { "request", m_work.requestId }, { "step", "release-kv" }, { "error", response.error().message } });
 }
 
-// Lets the next attempt make the output from the KV cache that this one did not use. Returns whether there is one.
+// Lets the next attempt decode from the KV cache that this one did not use. Returns whether there is one.
 bool RequestRunner::keepPrompt()
 {
     m_keepsPrompt = !m_kvSource.empty();
--- a/Libraries/LibDaemon/RequestRunner.cpp
+++ b/Libraries/LibDaemon/RequestRunner.cpp
@@ -14,14 +14,14 @@
 
 constexpr std::chrono::milliseconds cancelTimeout { 1'000 };
 constexpr double millisecondsPerSecond = 1e3;
-// Each takes a connect timeout at most; after three the fault is hardly the targets'.
-constexpr std::uint32_t mostUnsentTries = 3;
-// A caller whose request was not run comes back after this time on average: about what a target takes to be found
-// unreachable and another to be chosen. Spread, so that those refused together do not come back together.
+// Each try takes up to a connect timeout. After three failures, the targets are unlikely to be the cause.
+constexpr std::uint32_t maxUnsentTries = 3;
+// Mean Retry-After for requests that were not run: about the time to detect an unreachable target and choose another.
+// Randomized per request, so that callers refused at the same time do not retry at the same time.
 constexpr std::chrono::milliseconds meanRetryAfter { 600 };
-// An engine changes its role in some three seconds, and half a second passes until that is ordered.
+// An engine takes about 3 s to change its role, and ordering the change takes another 0.5 s.
 constexpr std::chrono::milliseconds retryAfterRoleChange { 3'500 };
-constexpr int partOfTimeLeft = 3; ///< Of the caller's time that the wait may take, the reciprocal.
+constexpr int timeLeftDivisor = 3; ///< Retry-After is at most the caller's remaining time divided by this.
 
 std::string millisecondsSince(Clock::time_point start, Clock::time_point end)
 {
@@ -40,7 +40,7 @@
     , m_startedAtBoot(Core::BootClock::now())
     , m_machine(profileOf(m_work, context.targets, m_startedAt + m_work.timeout), context.budgetOf(m_work))
     , m_eventSignal(context.context.get_executor())
-    , m_roomSignal(context.context.get_executor())
+    , m_queueSpaceSignal(context.context.get_executor())
     , m_deadlineTimer(context.context.get_executor())
 {
     ++m_context.runningRequests;
@@ -54,13 +54,13 @@
     profile.canResume = targets.resumesAtTarget && work.kind == Work::Kind::Model && work.isStreamed;
     profile.canCancel = targets.takesCancels && work.kind == Work::Kind::Model;
     profile.maxAttempts = work.maxAttempts;
-    profile.unsentTries = targets.countsUnsent ? 0 : mostUnsentTries;
+    profile.unsentTries = targets.countsUnsent ? 0 : maxUnsentTries;
     profile.outlivesCaller = work.ticket.has_value();
     profile.deadline = deadline;
     return profile;
 }
 
-// The steady clock stands still while the VM is suspended; the caller's time does not.
+// The steady clock stops while the VM is suspended, but the caller's deadline does not.
 Clock::time_point RequestRunner::now() const
 {
     return m_startedAt + std::chrono::duration_cast<Clock::duration>(Core::BootClock::now() - m_startedAtBoot);
@@ -94,15 +94,15 @@
         }
         Request::RequestEvent event = std::move(m_events.front());
         m_events.pop_front();
-        m_roomSignal.notify();
+        m_queueSpaceSignal.notify();
         Request::RequestActions actions = m_machine.handle(std::move(event), now());
         for (Request::RequestAction& action : actions)
             co_await perform(std::move(action));
     }
-    finishUp();
+    cleanUp();
 }
 
-// Where several pools serve the work, each gets its share of the counts: the request's own hash chooses.
+// If several pools serve the model, a hash of the request id distributes requests over their counts.
 void RequestRunner::chooseMixPool()
 {
     if (m_work.kind != Work::Kind::Model || m_allowed.empty())
@@ -112,7 +112,7 @@
     m_context.mix.offered(m_mixPool, m_work.shape.promptTokens);
 }
 
-void RequestRunner::finishUp()
+void RequestRunner::cleanUp()
 {
     if (!m_mixPool.empty())
         m_context.mix.ended(m_mixPool, m_work.shape.promptTokens, m_work.isStreamed ? m_machine.deliveredPieces() : m_work.shape.expectedOutputTokens);
@@ -121,7 +121,7 @@
     releasePlacement();
     dropKv();
     m_events.clear();
-    m_roomSignal.notify();
+    m_queueSpaceSignal.notify();
 }
 
 boost::asio::awaitable<void> RequestRunner::perform(Request::RequestAction action)
@@ -148,7 +148,7 @@
         if (piece->position == 0) {
             m_firstPieceAt = now;
             m_context.metrics.observe(TimeOf::FirstPiece, now - m_startedAt);
-            m_context.dispatcher.prefilled(m_placement);
+            m_context.dispatcher.notePrefillDone(m_placement);
         } else {
             m_longestPause = std::max(m_longestPause, now - m_lastPieceAt);
         }
@@ -165,13 +165,13 @@
 
 std::chrono::milliseconds RequestRunner::retryAfterOf(Routing::Reason reason) const
 {
-    // An engine takes seconds to change its role: whoever comes back sooner is refused again.
+    // An engine takes seconds to change its role, and an earlier retry would be refused again.
     bool lacksRole = reason == Routing::Reason::NoFittingRole || reason == Routing::Reason::NoOutputTarget;
     if (lacksRole)
-        return std::min(retryAfterRoleChange, timeLeft() / partOfTimeLeft);
+        return std::min(retryAfterRoleChange, timeLeft() / timeLeftDivisor);
     constexpr std::uint32_t spreadSteps = 1'000;
     std::chrono::milliseconds spread = meanRetryAfter * (std::hash<std::string>()(m_work.requestId) % spreadSteps) / spreadSteps;
-    return std::min(meanRetryAfter / 2 + spread, timeLeft() / partOfTimeLeft);
+    return std::min(meanRetryAfter / 2 + spread, timeLeft() / timeLeftDivisor);
 }
 
 void RequestRunner::abandonLeg()
@@ -234,7 +234,7 @@
     if (!cancel.needsOutcome)
         co_return;
     Request::CancelOutcome outcome = Request::CancelOutcome::Unknown;
-    // "Never seen" proves something only from the incarnation that was sent to.
+    // NeverSeen is conclusive only from the incarnation that the request was sent to.
     Core::Result<Platform::EngineState> engine = co_await m_context.engines.state(endpoint);
     std::string incarnation = engine.has_value() ? engine.value().incarnation : std::string();
     if (state.has_value()) {
@@ -279,10 +279,10 @@
 
 std::string RequestRunner::fleetAge() const
 {
-    return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(Core::BootClock::now() - m_fleet->madeAt).count());
+    return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(Core::BootClock::now() - m_fleet->createdAt).count());
 }
 
-// How old the list of targets may be, whether it has changed or not.
+// Upper bound on the age of the list of targets, even if the list has not changed.
 std::string RequestRunner::listAge() const
 {
     if (!m_fleet->listConfirmedAt)
@@ -300,7 +300,7 @@
     if (finish.error)
         m_context.metrics.countError(finish.error->code);
     std::string first = m_firstPieceAt == Clock::time_point() ? "-" : millisecondsSince(m_startedAt, m_firstPieceAt);
-    // Lines of requests that went well may be left out under load, those of the others never.
+    // Info lines may be dropped under load; failed requests log at Warning and are always kept.
     Core::Severity severity = finish.error ? Core::Severity::Warning : Core::Severity::Info;
     Core::logEvent(severity, Core::Event::RequestFinished, { { "request", m_work.requestId }, { "work_key", toLogText(m_work.key) }, { "verdict", std::string(Core::toString(finish.verdict)) }, { "target", m_target }, { "target_status", m_leg ? std::to_string(m_leg->head.status) : "-" }, { "attempts", std::to_string(m_machine.attempt()) }, { "pieces", std::to_string(m_machine.deliveredPieces()) }, { "first_piece_ms", first }, { "longest_pause_ms", std::to_string(std::chrono::duration<double, std::milli>(m_longestPause).count()) }, { "total_ms", millisecondsSince(m_startedAt, now) }, { "retry_after_ms", std::to_string(finish.retryAfter.count()) }, { "error", finish.error ? finish.error->message : "-" } });
 }
--- a/Libraries/LibDaemon/RequestRunner.h
+++ b/Libraries/LibDaemon/RequestRunner.h
@@ -14,35 +14,35 @@
 
 namespace Daemon {
 
-/// Carries out what a request's machine decides: the one shell around `Request::RequestMachine`. Every I/O runs
-/// in a coroutine of its own and reports events; the runner hands them to the machine one at a time.
+/// Performs the I/O for a `Request::RequestMachine`, which makes all decisions about a request. Each I/O operation runs
+/// in its own coroutine and posts events; the runner passes them to the machine one at a time.
 /// Use from the traffic thread only.
 class RequestRunner : public std::enable_shared_from_this<RequestRunner> {
 public:
-    /// Precondition: the context outlives the runner. `allowed` holds positions in the fleet's targets.
+    /// Precondition: the context outlives the runner. `allowed` holds indices into the fleet's targets.
     RequestRunner(TrafficContext&, Work, FleetPointer, std::vector<std::uint32_t> allowed, std::shared_ptr<AnswerSink>);
 
     ~RequestRunner() { --m_context.runningRequests; }
     RequestRunner(RequestRunner const&) = delete;
     RequestRunner& operator=(RequestRunner const&) = delete;
 
-    /// Runs the request to its final answer.
+    /// Runs the request until its final response is delivered.
     boost::asio::awaitable<void> run();
 
-    /// Hands an event in from outside, such as `CallerGone`.
+    /// Queues an event from outside the runner, such as `CallerGone`.
     void post(Request::RequestEvent);
 
     Work const& work() const { return m_work; }
 
 private:
-    /// A connection that broke before anything told whether the request ran.
+    /// A connection that broke before the response showed whether the request had run.
     struct LostAnswer {
         std::uint64_t target { 0 };
         Core::BootClock::time_point at;
     };
 
-    static constexpr std::size_t wholeBodyLimit = 256U * 1024; ///< Of a refusal, or of the answer to a prefill.
-    /// The machine's own deadline comes first: a connection's time-out is no news of the target.
+    static constexpr std::size_t bufferedBodyLimit = 256U * 1024; ///< Of a refusal, a prefill response or a buffered body.
+    /// Added to connection timeouts, so that the machine's deadline fires first: missing it is no fault of the target.
     static constexpr std::chrono::milliseconds deadlineSlack { 200 };
 
     using LegPointer = std::shared_ptr<UpstreamLeg>;
@@ -55,7 +55,7 @@
     void startCancel(Request::CancelAtTarget const&);
     void abandonLeg();
     void releasePlacement();
-    void finishUp();
+    void cleanUp();
     void chooseMixPool();
 
     boost::asio::awaitable<void> runAttempt(LegPointer, std::vector<std::string> excluded, std::chrono::milliseconds delay);
@@ -75,17 +75,17 @@
     boost::asio::awaitable<void> readBody(LegPointer, TargetSend);
     void logRefusal() const;
     boost::asio::awaitable<void> wait(std::chrono::milliseconds);
-    boost::asio::awaitable<void> postWithRoom(Request::RequestEvent);
+    boost::asio::awaitable<void> postWithBackpressure(Request::RequestEvent);
 
     void postFailure(LegPointer const&, Core::Error const&);
-    std::optional<Core::Error> whyQuarantined() const;
+    std::optional<Core::Error> quarantineError() const;
     bool finishIfQuarantined(LegPointer const&);
     void excludeOtherSuspects(std::vector<std::string>& excluded) const;
     void beginRun(FleetTarget const&);
     void finishRun();
     void noteAnswerEnd(Http::ResponseHead const&, bool isWhole);
     void breakOffRun();
-    boost::asio::awaitable<void> findOut(FleetTarget);
+    boost::asio::awaitable<void> probeTarget(FleetTarget);
     void noteEnded(FleetTarget const&, std::string_view sign);
     TargetSend sendOf(std::uint32_t attempt) const;
     std::chrono::steady_clock::time_point now() const;
@@ -113,26 +113,26 @@
     Request::RequestMachine m_machine;
     std::deque<Request::RequestEvent> m_events;
     Signal m_eventSignal;
-    Signal m_roomSignal;
+    Signal m_queueSpaceSignal;
     boost::asio::steady_timer m_deadlineTimer;
     LegPointer m_leg;
-    std::uint64_t m_placement { 0 }; ///< 0: none.
-    Quarantine::RunTable::Id m_run { 0 }; ///< Of the work at the attempt's target; 0: none.
-    Routing::Reason m_reason { Routing::Reason::NoCandidate }; ///< Of the last placement.
+    std::uint64_t m_placement { 0 }; ///< 0 if none.
+    Quarantine::RunTable::Id m_run { 0 }; ///< Run at the attempt's target; 0 if none.
+    Routing::Reason m_reason { Routing::Reason::NoCandidate }; ///< Reason of the last placement.
     std::string m_target; ///< Name of the attempt's target, for logs.
-    std::string m_mixPool; ///< The pool in whose mix the request is counted.
-    std::string m_kvSource; ///< Where the decoding target fetches the prompt's KV cache; empty: nowhere.
-    boost::asio::ip::tcp::endpoint m_kvHolder; ///< The target that keeps it,
-    std::string m_kvZone; ///< and its availability zone.
-    bool m_hasBegun { false }; ///< A target has begun to run it, as far as its answers tell.
-    std::optional<LostAnswer> m_lostAnswer; ///< The first one, while it is not known to have begun.
-    bool m_keepsPrompt { false }; ///< The next attempt fetches the KV cache that this one has not.
-    bool m_hasReusedPrompt { false }; ///< A target has refused the output with a KV cache to fetch.
-    int m_urgency { 5 }; ///< Of the present send.
-    std::string m_lastEventId; ///< Of the last event that was handed on; empty: none had one.
+    std::string m_mixPool; ///< The pool whose workload mix counts the request.
+    std::string m_kvSource; ///< Where the decode target fetches the prompt's KV cache; empty if nowhere.
+    boost::asio::ip::tcp::endpoint m_kvHolder; ///< The target that holds the KV cache.
+    std::string m_kvZone; ///< Availability zone of `m_kvHolder`.
+    bool m_hasBegun { false }; ///< A response has shown that a target began to run the request.
+    std::optional<LostAnswer> m_lostAnswer; ///< The first one, while the request is not known to have begun.
+    bool m_keepsPrompt { false }; ///< The next attempt reuses the KV cache that this one did not fetch.
+    bool m_hasReusedPrompt { false }; ///< A target has already refused a decode that had a KV cache to fetch.
+    int m_urgency { 5 }; ///< Of the current send.
+    std::string m_lastEventId; ///< Of the last event that was delivered; empty if none had an id.
     std::chrono::steady_clock::time_point m_firstPieceAt;
     std::chrono::steady_clock::time_point m_lastPieceAt;
-    std::chrono::steady_clock::duration m_longestPause { 0 }; ///< Between two pieces.
+    std::chrono::steady_clock::duration m_longestPause { 0 }; ///< Between two delivered pieces.
 };
 
 }
--- a/Libraries/LibDaemon/RequestSuspicion.cpp
+++ b/Libraries/LibDaemon/RequestSuspicion.cpp
@@ -1,4 +1,4 @@
-// The part of RequestRunner that tells which requests end the targets that run them, and refuses those.
+// The part of RequestRunner that detects requests which crash their targets, and refuses quarantined ones.
 
 #include <LibCore/EventLog.h>
 #include <LibDaemon/RequestRunner.h>
@@ -11,14 +11,14 @@
 
 using Clock = Core::BootClock;
 
-// Nothing but another release of the targets' software changes the refusal, and that takes minutes.
+// Only a new release of the targets' software lifts the quarantine, and deploying one takes minutes.
 constexpr std::chrono::milliseconds retryAfterQuarantine { 60'000 };
 constexpr std::uint16_t noContent = 204;
 constexpr std::uint16_t notModified = 304;
 
 }
 
-std::optional<Core::Error> RequestRunner::whyQuarantined() const
+std::optional<Core::Error> RequestRunner::quarantineError() const
 {
     switch (m_context.guard.standing(m_work.key)) {
     case Quarantine::Guard::Standing::Open:
@@ -33,10 +33,10 @@
     return Core::makeError(Core::ErrorCode::Quarantined, "This request has ended several targets that ran it. It is not run until their software is replaced.");
 }
 
-// Returns whether the attempt has ended here.
+// Returns whether the attempt was ended.
 bool RequestRunner::finishIfQuarantined(LegPointer const& leg)
 {
-    std::optional<Core::Error> error = whyQuarantined();
+    std::optional<Core::Error> error = quarantineError();
     if (!error)
         return false;
     std::chrono::milliseconds retryAfter = error->code == Core::ErrorCode::Quarantined ? retryAfterQuarantine : std::chrono::milliseconds(0);
@@ -46,11 +46,11 @@
 
 void RequestRunner::excludeOtherSuspects(std::vector<std::string>& excluded) const
 {
-    std::set<std::uint64_t> taken = m_context.guard.targetsOfOtherSuspects(m_work.key);
-    if (taken.empty())
+    std::set<std::uint64_t> suspectTargets = m_context.guard.targetsOfOtherSuspects(m_work.key);
+    if (suspectTargets.empty())
         return;
     for (FleetTarget const& target : m_fleet->targets) {
-        if (taken.contains(target.key))
+        if (suspectTargets.contains(target.key))
             excluded.push_back(target.name);
     }
 }
@@ -66,7 +66,7 @@
     m_context.guard.finish(std::exchange(m_run, 0));
 }
 
-// An answer that ends with its connection ends in the same way when the target does.
+// A response delimited by the end of its connection looks the same when the target crashes.
 void RequestRunner::noteAnswerEnd(Http::ResponseHead const& head, bool isWhole)
 {
     // RFC 9112, section 6.3: these have no body.
@@ -87,7 +87,7 @@
     FleetTarget const* target = targetOf(m_target);
     if (run == 0 || !target)
         return;
-    // What ends as it had said it would is not ended by a request.
+    // A target that announced its shutdown was not ended by a request.
     if (target->isLeaving) {
         m_context.guard.finish(run);
         return;
@@ -98,11 +98,11 @@
     if (!broken.isToFindOut)
         return;
     boost::asio::co_spawn(
-        m_context.context, [self = shared_from_this(), copy = *target] { return self->findOut(copy); }, boost::asio::detached);
+        m_context.context, [self = shared_from_this(), copy = *target] { return self->probeTarget(copy); }, boost::asio::detached);
 }
 
-// Connections break for many reasons; a process that has ended leaves an address where nothing listens.
-boost::asio::awaitable<void> RequestRunner::findOut(FleetTarget target)
+// Tells a crashed target, whose address refuses connections, from a connection that broke for another reason.
+boost::asio::awaitable<void> RequestRunner::probeTarget(FleetTarget target)
 {
     Clock::time_point begunAt = Clock::now();
     Http::Reach reach = co_await m_context.client.reach(target.endpoint);
--- a/Libraries/LibDaemon/RequestUsage.cpp
+++ b/Libraries/LibDaemon/RequestUsage.cpp
@@ -4,14 +4,14 @@
 
 namespace Daemon {
 
-// A request counts once, when its first run begins.
+// Each request is counted once, when its first run begins.
 void RequestRunner::noteBegun()
 {
     if (m_work.isAuthenticated && !std::exchange(m_hasBegun, true))
         m_context.usage.note(m_work.organisation, Core::BootClock::now());
 }
 
-// Of calls of plain services whose answer is lost most have run. An engine may have been lost itself.
+// Most calls to plain services whose response is lost have run, so that they count. An engine may itself have been lost.
 void RequestRunner::noteLostAnswer()
 {
     FleetTarget const* target = targetOf(m_target);
--- a/Libraries/LibDaemon/StoreFleet.cpp
+++ b/Libraries/LibDaemon/StoreFleet.cpp
@@ -236,7 +236,7 @@
     target.release = listed.release;
     target.isReclaimable = listed.isReclaimable;
     target.isLeaving = isLeaving(booked, key);
-    target.closedBecause = whyClosed(booked, target.key);
+    target.closeReason = whyClosed(booked, target.key);
     return target;
 }
 
--- a/Libraries/LibDaemon/SuspectMessages.cpp
+++ b/Libraries/LibDaemon/SuspectMessages.cpp
@@ -8,8 +8,8 @@
 
 namespace Proto = currantvale::control;
 
-// Nothing said is older, and sums with it stay within the clock's own unit.
-constexpr std::chrono::milliseconds longestAge = std::chrono::days(10 * 365);
+// Bounds ages read from a message, so that arithmetic with them cannot overflow the clock's representation.
+constexpr std::chrono::milliseconds maxAge = std::chrono::days(10 * 365);
 
 std::uint64_t ageOf(Quarantine::Time at, Quarantine::Time now)
 {
@@ -18,7 +18,7 @@
 
 Quarantine::Time timeOf(std::uint64_t age, Quarantine::Time now)
 {
-    return now - std::chrono::milliseconds(std::min<std::uint64_t>(age, longestAge.count()));
+    return now - std::chrono::milliseconds(std::min<std::uint64_t>(age, maxAge.count()));
 }
 
 }
--- a/Libraries/LibDaemon/SuspectMessages.h
+++ b/Libraries/LibDaemon/SuspectMessages.h
@@ -7,8 +7,8 @@
 
 namespace Daemon {
 
-/// Forms of what is known of a suspected request, for a peer and for the store: ages in place of moments, as clocks differ and
-/// start anew. `decode` errors: Corrupt. Thread-safe.
+/// Serializes a suspect record for peers and the store. Times are encoded as ages, because clocks differ between daemons and
+/// restart with the VM. Errors of `decodeSuspect`: Corrupt. Thread-safe.
 std::string encode(Quarantine::Suspect const&, Quarantine::Time now);
 Core::Result<Quarantine::Suspect> decodeSuspect(std::string_view key, std::string_view bytes, Quarantine::Time now);
 
--- a/Libraries/LibDaemon/TargetOutcomes.cpp
+++ b/Libraries/LibDaemon/TargetOutcomes.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-constexpr std::uint16_t leastFailure = 500;
-constexpr std::uint16_t outOfTime = 504; // Of the request's own time, which may have been short.
+constexpr std::uint16_t minServerErrorStatus = 500;
+constexpr std::uint16_t gatewayTimeoutStatus = 504; // The request's own deadline expired, which may have been short.
 
 }
 
@@ -22,10 +22,10 @@
 {
     if (proof == AnswerProof::Replaced)
         return Routing::TargetOutcome::Replaced;
-    // A KV cache that cannot be had is no fault of the target that fetches it.
+    // A failed fetch of the KV cache is not a fault of the target that fetches it.
     if (proof == AnswerProof::NotRun)
         return fetchesKv ? Routing::TargetOutcome::Answered : Routing::TargetOutcome::Refused;
-    return status >= leastFailure && status != outOfTime ? Routing::TargetOutcome::Failed : Routing::TargetOutcome::Answered;
+    return status >= minServerErrorStatus && status != gatewayTimeoutStatus ? Routing::TargetOutcome::Failed : Routing::TargetOutcome::Answered;
 }
 
 }
--- a/Libraries/LibDaemon/TargetOutcomes.h
+++ b/Libraries/LibDaemon/TargetOutcomes.h
@@ -8,12 +8,12 @@
 
 namespace Daemon {
 
-/// Returns what the answer to a prefill says of its target. `kvSource` is what `TargetProtocol::readPrefill` made of it.
-/// Thread-safe.
+/// Classifies the response to a prefill for the health of its target. `kvSource` is the result of
+/// `TargetProtocol::readPrefill`. Thread-safe.
 Routing::TargetOutcome outcomeOf(Core::Result<std::string> const& kvSource);
 
-/// Returns what the head of an answer says of its target. One that is unusable is noted as broken where it is given up.
-/// `fetchesKv`: the target was to fetch the prompt's KV cache from another one. Thread-safe.
+/// Classifies the head of a response for the health of its target. An unusable response is recorded as Broken by the
+/// caller. `fetchesKv`: the target had to fetch the prompt's KV cache from another target. Thread-safe.
 Routing::TargetOutcome outcomeOf(AnswerProof, std::uint16_t status, bool fetchesKv);
 
 }
--- a/Libraries/LibDaemon/Work.cpp
+++ b/Libraries/LibDaemon/Work.cpp
@@ -15,13 +15,13 @@
 constexpr std::string_view labelsHeader = "Currantvale-Labels";
 constexpr std::string_view deadlineHeader = "Currantvale-Deadline-Ms";
 constexpr std::string_view idempotencyHeader = "Idempotency-Key";
-constexpr std::string_view ownHeaderPrefix = "currantvale-";
+constexpr std::string_view systemHeaderPrefix = "currantvale-";
 constexpr std::size_t charactersPerToken = 4;
-constexpr std::size_t charactersPerBlock = 1024;
-constexpr std::size_t maximumBlocks = 64;
+constexpr std::size_t charactersPerPrefixBlock = 1024;
+constexpr std::size_t maxPrefixBlocks = 64;
 constexpr std::uint32_t defaultOutputTokens = 256;
-constexpr std::uint64_t maximumOutputTokens = 1'000'000;
-constexpr std::size_t maximumKeyLength = 255;
+constexpr std::uint64_t maxOutputTokens = 1'000'000;
+constexpr std::size_t maxIdempotencyKeyLength = 255;
 
 std::string_view pathOf(std::string_view target)
 {
@@ -36,8 +36,8 @@
     std::uint64_t number = 0;
     std::from_chars_result parsed = std::from_chars(text->data(), text->data() + text->size(), number);
     bool isNumber = parsed.ec == std::errc() && parsed.ptr == text->data() + text->size();
-    if (!isNumber || number == 0 || number > static_cast<std::uint64_t>(limits.longestTimeout.count()))
-        return Core::fail(Core::ErrorCode::BadInput, std::string(deadlineHeader) + ": read \"" + std::string(*text) + "\"; allowed is a whole number from 1 to " + std::to_string(limits.longestTimeout.count()));
+    if (!isNumber || number == 0 || number > static_cast<std::uint64_t>(limits.maxTimeout.count()))
+        return Core::fail(Core::ErrorCode::BadInput, std::string(deadlineHeader) + ": read \"" + std::string(*text) + "\"; allowed is a whole number from 1 to " + std::to_string(limits.maxTimeout.count()));
     return std::chrono::milliseconds(number);
 }
 
@@ -54,8 +54,8 @@
     return labels;
 }
 
-// Sets a label that the system itself gives; a value outside the label syntax is left out.
-void setOwn(Label::LabelSet& labels, std::string_view key, std::string_view value)
+// Sets a label that only the system may set. The label is omitted if the value is not valid label syntax.
+void setSystemLabel(Label::LabelSet& labels, std::string_view key, std::string_view value)
 {
     labels.erase(key);
     Core::Result<void> set = labels.set(key, value);
@@ -83,12 +83,12 @@
     return *text == "yes";
 }
 
-// Applies the operators' rules and reads the labels that have a meaning here.
-Core::Result<void> finishLabels(Work& work, Label::LabelSet labels, State::Config const& config, std::string_view method)
+// Applies the configured request rules and reads the labels that the daemon interprets.
+Core::Result<void> applyLabelRules(Work& work, Label::LabelSet labels, State::Config const& config, std::string_view method)
 {
-    setOwn(labels, "kind", work.kind == Work::Kind::Model ? "model" : "service");
-    setOwn(labels, work.kind == Work::Kind::Model ? "model" : "service", work.name);
-    setOwn(labels, "method", method);
+    setSystemLabel(labels, "kind", work.kind == Work::Kind::Model ? "model" : "service");
+    setSystemLabel(labels, work.kind == Work::Kind::Model ? "model" : "service", work.name);
+    setSystemLabel(labels, "method", method);
     work.labels = config.requestLabels(labels);
     work.organisation = std::string(work.labels.get("organisation").value_or(anonymousOrganisation));
     BOOST_OUTCOME_TRY(work.priority, readPriority(work.labels));
@@ -97,7 +97,7 @@
     return Core::ok();
 }
 
-// Where the configuration has organisations, whoever let the request in has set the field that names one.
+// If the configuration has organisations, the authentication step has set the organisation header.
 void readOrganisation(Work& work, Http::Fields const& fields, State::Config const& config)
 {
     std::optional<std::string_view> name = fields.find(organisationHeader);
@@ -159,22 +159,22 @@
         if (!value || value->is_null())
             continue;
         std::uint64_t number = Platform::numberOf(body, key, 0);
-        if (number == 0 || number > maximumOutputTokens)
-            return Core::fail(Core::ErrorCode::BadInput, std::string(key) + ": allowed is a whole number from 1 to " + std::to_string(maximumOutputTokens));
+        if (number == 0 || number > maxOutputTokens)
+            return Core::fail(Core::ErrorCode::BadInput, std::string(key) + ": allowed is a whole number from 1 to " + std::to_string(maxOutputTokens));
         return static_cast<std::uint32_t>(number);
     }
     return defaultOutputTokens;
 }
 
-// A chain of hashes over the prompt's beginning, by which requests that share a prefix are found.
+// Returns a chain of hashes over the blocks at the start of the prompt, used to find requests that share a prefix.
 std::vector<Routing::PrefixBlock> prefixChain(std::string_view model, std::string_view prompt)
 {
     std::vector<Routing::PrefixBlock> chain;
     XXH64_hash_t hash = XXH3_64bits(model.data(), model.size());
-    std::size_t blocks = std::min(prompt.size() / charactersPerBlock, maximumBlocks);
+    std::size_t blocks = std::min(prompt.size() / charactersPerPrefixBlock, maxPrefixBlocks);
     for (std::size_t n = 0; n < blocks; ++n) {
-        hash = XXH3_64bits_withSeed(prompt.data() + n * charactersPerBlock, charactersPerBlock, hash);
-        chain.push_back({ hash == 0 ? 1 : hash, static_cast<std::uint32_t>((n + 1) * charactersPerBlock / charactersPerToken) });
+        hash = XXH3_64bits_withSeed(prompt.data() + n * charactersPerPrefixBlock, charactersPerPrefixBlock, hash);
+        chain.push_back({ hash == 0 ? 1 : hash, static_cast<std::uint32_t>((n + 1) * charactersPerPrefixBlock / charactersPerToken) });
     }
     return chain;
 }
@@ -198,9 +198,9 @@
     return labels;
 }
 
-bool isOwnHeader(std::string_view name)
+bool isSystemHeader(std::string_view name)
 {
-    return name.size() > ownHeaderPrefix.size() && Http::isSameFieldName(name.substr(0, ownHeaderPrefix.size()), ownHeaderPrefix);
+    return name.size() > systemHeaderPrefix.size() && Http::isSameFieldName(name.substr(0, systemHeaderPrefix.size()), systemHeaderPrefix);
 }
 
 Http::Request makeUpstream(Http::Request const& request, std::string target)
@@ -209,7 +209,7 @@
     Http::Fields passed = Http::withoutHopByHop(request.fields);
     for (Http::Fields::Entry const& entry : passed.entries()) {
         bool isReplaced = Http::isSameFieldName(entry.first, "Host") || Http::isSameFieldName(entry.first, "Content-Length") || Http::isSameFieldName(entry.first, "Expect") || Http::isSameFieldName(entry.first, "X-Request-Id");
-        if (!isReplaced && !isOwnHeader(entry.first))
+        if (!isReplaced && !isSystemHeader(entry.first))
             upstream.fields.add(entry.first, entry.second);
     }
     return upstream;
@@ -267,13 +267,13 @@
     BOOST_OUTCOME_TRY(work.timeout, readTimeout(request.fields, limits));
     bool isService = std::string_view(request.target).starts_with(servicePrefix);
     BOOST_OUTCOME_TRY(Label::LabelSet labels, isService ? readService(work, request) : readModel(work, request));
-    BOOST_OUTCOME_TRY(finishLabels(work, std::move(labels), config, request.method));
+    BOOST_OUTCOME_TRY(applyLabelRules(work, std::move(labels), config, request.method));
     readOrganisation(work, request.fields, config);
     if (std::optional<std::string_view> ticket = request.fields.find(Request::ticketHeader))
         work.ticket = std::string(*ticket);
     work.idempotencyKey = std::string(request.fields.find(idempotencyHeader).value_or(""));
-    if (work.idempotencyKey.size() > maximumKeyLength)
-        return Core::fail(Core::ErrorCode::BadInput, "Idempotency-Key: longer than " + std::to_string(maximumKeyLength) + " bytes");
+    if (work.idempotencyKey.size() > maxIdempotencyKeyLength)
+        return Core::fail(Core::ErrorCode::BadInput, "Idempotency-Key: longer than " + std::to_string(maxIdempotencyKeyLength) + " bytes");
     return work;
 }
 
--- a/Libraries/LibDaemon/Work.h
+++ b/Libraries/LibDaemon/Work.h
@@ -16,53 +16,53 @@
 
 namespace Daemon {
 
-/// What a request asks for, read from its HTTP form once.
+/// A parsed request: the model or service that it names, and how to run it.
 struct Work {
     enum class Kind : std::uint8_t { Model,
         Service };
 
     std::string requestId;
-    Request::Fingerprint key; ///< The same whenever a caller asks for the same, under whatever request id.
+    Request::Fingerprint key; ///< Equal for requests with the same content, whatever their request id.
     Kind kind { Kind::Model };
     std::string name; ///< The model or the plain service.
     std::string organisation;
-    bool isAuthenticated { false }; ///< The organisation holds the key that the request came with.
-    Label::LabelSet labels; ///< After the operators' request rules.
+    bool isAuthenticated { false }; ///< The request's API key belongs to the organisation.
+    Label::LabelSet labels; ///< After the configured request rules were applied.
     int priority { 5 };
     bool isRepeatable { false };
     bool isStreamed { false }; ///< The answer is a stream of server-sent events.
     std::chrono::milliseconds timeout { 0 };
-    std::chrono::milliseconds firstPieceLimit { 0 }; ///< A caller gives a stream up that has not begun by then; 0: never.
-    std::uint32_t maxAttempts { 4 }; ///< Targets to which it may be sent.
-    bool mayContinue { false }; ///< A stream may go on at another target behind its last event.
+    std::chrono::milliseconds firstPieceLimit { 0 }; ///< Callers abandon a stream not started by then; 0 if they never do.
+    std::uint32_t maxAttempts { 4 }; ///< Maximum number of targets to send it to.
+    bool mayContinue { false }; ///< Another target may continue a stream after its last event.
     std::optional<std::string> ticket;
     std::string idempotencyKey;
     Routing::RequestShape shape;
     std::vector<Routing::PrefixBlock> prefix;
-    Http::Request upstream; ///< What the target gets, but for the attempt's own fields.
+    Http::Request upstream; ///< The request to the target, without the fields set per attempt.
 };
 
-/// Bounds and defaults that reading a request needs.
+/// Limits and defaults for parsing requests.
 struct WorkLimits {
     std::chrono::milliseconds defaultTimeout { 60'000 };
-    std::chrono::milliseconds longestTimeout { 600'000 };
+    std::chrono::milliseconds maxTimeout { 600'000 };
     Access::GateSettings keys {};
 };
 
 /// Reads a request to a model (`/v1/completions`, `/v1/chat/completions`) or a plain service
-/// (`/services/NAME/...`). Precondition: where the configuration has organisations, the request has been let in by its key, and names
-/// the organisation. Errors (all NotRun): BadInput with what was read and what is allowed; NotFound for
-/// another path. Thread-safe.
+/// (`/services/NAME/...`). Precondition: if the configuration has organisations, the request has been authenticated by its
+/// key and its organisation header is set accordingly. Errors (all NotRun): BadInput with the value read and the allowed
+/// values; NotFound for any other path. Thread-safe.
 Core::Result<Work> parseWork(Http::Request const&, State::Config const&, WorkLimits const&, std::string requestId);
 
-/// Returns what tells a caller's request from others that ask for something else: its host, method, path with query, body, and
-/// who asks: the organisation that holds its key, else whoever the request says. Thread-safe.
+/// Returns the fingerprint of a request's content: its host, method, path with query, body and sender. The sender is the
+/// authenticated organisation, otherwise the credentials and the organisation in its headers. Thread-safe.
 Request::Fingerprint workKeyOf(Http::Request const&, Work const&);
 
-/// Returns the form of a request's key that logs have. Thread-safe.
+/// Returns the abbreviated form of a request's key for logs. Thread-safe.
 std::string toLogText(Request::Fingerprint const&);
 
-/// Header that names the organisation that a request counts for, and the name that counts without it.
+/// Header with the organisation that a request is accounted to, and the name used without it.
 inline constexpr std::string_view organisationHeader = "Currantvale-Organisation";
 inline constexpr std::string_view anonymousOrganisation = "anonymous";
 
--- a/Tests/LibDaemon/TestDispatcher.cpp
+++ b/Tests/LibDaemon/TestDispatcher.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::shared_ptr<Daemon::FleetSnapshot> fleetOf(std::size_t count, std::string const& closedBecause = {})
+std::shared_ptr<Daemon::FleetSnapshot> fleetOf(std::size_t count, std::string const& closeReason = {})
 {
     std::shared_ptr<Daemon::FleetSnapshot> fleet = std::make_shared<Daemon::FleetSnapshot>();
     std::vector<State::PlatformTarget> targets;
@@ -17,7 +17,7 @@
         target.key = n + 1;
         target.name = "e-" + std::to_string(n);
         target.model = "m";
-        target.closedBecause = closedBecause;
+        target.closeReason = closeReason;
         targets.push_back({ target.name, {} });
         fleet->targets.push_back(std::move(target));
     }
@@ -44,7 +44,7 @@
         return request;
     }
 
-    // Starts a placement; its outcome is stored once it is known.
+    // Starts a placement and stores its outcome when it completes.
     std::uint64_t place(Daemon::PlacementRequest request, std::optional<Daemon::PlacementOutcome>& outcome)
     {
         std::uint64_t id = m_dispatcher->nextId();
@@ -70,7 +70,7 @@
 
 }
 
-TEST_F(DispatcherTest, WaitsForRoomAndGoesOnRelease)
+TEST_F(DispatcherTest, WaitsForCapacityAndIsPlacedOnRelease)
 {
     Daemon::FleetPointer fleet = fleetOf(1);
     m_dispatcher->setFleet(fleet);
@@ -87,9 +87,9 @@
     EXPECT_EQ(second->position, 0U);
 }
 
-// Found under load with one engine and one lost reply: the retry left out its only target, could never be placed
-// and held up everything of its organisation behind it until its deadline.
-TEST_F(DispatcherTest, RetryWithEveryTargetTriedMayTryOneAgain)
+// Guards against a retry that excludes its only target after a lost response: it could never be placed, and blocked all
+// later requests of its organisation until its deadline. Seen under load with one engine.
+TEST_F(DispatcherTest, RetryMayReuseATargetIfAllWereTried)
 {
     Daemon::FleetPointer fleet = fleetOf(1);
     m_dispatcher->setFleet(fleet);
@@ -101,7 +101,7 @@
     EXPECT_EQ(outcome->position, 0U);
 }
 
-TEST_F(DispatcherTest, RequestThatWaitsForItsTargetsHoldsUpNobodyWhoMayGoElsewhere)
+TEST_F(DispatcherTest, WaitingRequestDoesNotBlockRequestsForOtherTargets)
 {
     Daemon::FleetPointer fleet = fleetOf(2);
     m_dispatcher->setFleet(fleet);
@@ -116,8 +116,8 @@
     EXPECT_EQ(elsewhere->position, 1U);
 }
 
-// Found in a live change of version: requests that came while all engines were closed were never placed.
-TEST_F(DispatcherTest, RequestThatCameWhileAllWereClosedGoesOnceOneOpens)
+// Guards against requests that arrive while all engines are closed and are never placed. Seen in a rolling upgrade.
+TEST_F(DispatcherTest, RequestThatArrivesWhileAllAreClosedIsPlacedOnceOneOpens)
 {
     Daemon::FleetPointer closed = fleetOf(1, "closed for a change");
     m_dispatcher->setFleet(closed);
@@ -145,8 +145,8 @@
     EXPECT_EQ(waiting->error.verdict, Core::Verdict::NotRun);
 }
 
-// A retry whose decode targets were all tried goes to one of them again, though prefill targets are left.
-TEST_F(DispatcherTest, ExclusionsFallWhenNoTargetOfAFittingRoleIsLeft)
+// A retry whose decode targets were all tried may use one of them again, even if untried prefill targets are left.
+TEST_F(DispatcherTest, ExclusionsAreClearedIfNoTargetOfAFittingRoleIsLeft)
 {
     std::shared_ptr<Daemon::FleetSnapshot> fleet = fleetOf(2);
     fleet->targets[0].role = Routing::TargetRole::Prefill;
@@ -161,8 +161,8 @@
     EXPECT_EQ(outcome->position, 1U);
 }
 
-// After the last decode target was lost: prompts that were computed then cost a fifth of the prefill work of a day, in vain.
-TEST_F(DispatcherTest, APromptIsNotComputedWhileNobodyCanMakeItsOutput)
+// Guards against computing prompts after the last decode target was lost: that wasted a fifth of a day's prefill work.
+TEST_F(DispatcherTest, PromptIsNotComputedWhileNoTargetCanDecodeIt)
 {
     m_settings.routing.policy = Routing::Policy::PromptHome;
     m_dispatcher = Daemon::Dispatcher::create(m_settings, 1).value();
@@ -175,7 +175,7 @@
     request.shape.phase = Routing::Phase::WholeOrPrefill;
     place(request, outcome);
     EXPECT_FALSE(outcome);
-    // One of them becomes a decode target.
+    // One of them changes its role to decode.
     std::shared_ptr<Daemon::FleetSnapshot> later = fleetOf(2);
     later->targets[0].role = Routing::TargetRole::Prefill;
     later->targets[1].role = Routing::TargetRole::Decode;
@@ -185,7 +185,7 @@
     EXPECT_EQ(outcome->position, 0U);
 }
 
-TEST_F(DispatcherTest, ARefusalSaysThatOutputsCannotBeMade)
+TEST_F(DispatcherTest, RefusalReportsThatNoTargetCanDecode)
 {
     m_settings.routing.policy = Routing::Policy::PromptHome;
     m_dispatcher = Daemon::Dispatcher::create(m_settings, 1).value();
@@ -205,8 +205,8 @@
     EXPECT_EQ(outcome->error.verdict, Core::Verdict::NotRun);
 }
 
-// A stream that both decode targets have cut is tried once more at one of them.
-TEST_F(DispatcherTest, ADecodeTargetThatWasTriedMayStillMakeTheOutput)
+// A stream that was broken off at all decode targets is retried at one of them.
+TEST_F(DispatcherTest, ExcludedDecodeTargetMayStillGenerateTheOutput)
 {
     m_settings.routing.policy = Routing::Policy::PromptHome;
     m_dispatcher = Daemon::Dispatcher::create(m_settings, 1).value();
@@ -223,8 +223,8 @@
     EXPECT_EQ(outcome->position, 0U);
 }
 
-// Guards against callers who are held up where all targets want nothing until it is too late.
-TEST_F(DispatcherTest, RefusesAtOnceWhereAllTargetsWantNothingForLong)
+// Guards against requests that wait although all targets are paused beyond their latest start.
+TEST_F(DispatcherTest, RefusesAtOnceIfAllTargetsArePausedTooLong)
 {
     Daemon::FleetPointer fleet = fleetOf(2);
     m_dispatcher->setFleet(fleet);
@@ -237,12 +237,12 @@
     ASSERT_TRUE(outcome);
     EXPECT_FALSE(outcome->position);
     EXPECT_EQ(outcome->error.verdict, Core::Verdict::NotRun);
-    EXPECT_GT(outcome->retryAfter, std::chrono::seconds(19)) << "the least of what is left";
-    EXPECT_LE(outcome->retryAfter, std::chrono::seconds(25)) << "and a quarter more";
+    EXPECT_GT(outcome->retryAfter, std::chrono::seconds(19)) << "the shortest remaining pause";
+    EXPECT_LE(outcome->retryAfter, std::chrono::seconds(25)) << "plus at most a quarter";
     EXPECT_EQ(m_dispatcher->openRequests(), 0U);
 }
 
-TEST_F(DispatcherTest, WaitsForATargetThatWantsNothingForAMoment)
+TEST_F(DispatcherTest, WaitsForABrieflyPausedTarget)
 {
     Daemon::FleetPointer fleet = fleetOf(1);
     m_dispatcher->setFleet(fleet);
@@ -258,15 +258,15 @@
     EXPECT_TRUE(m_dispatcher->mayWrite(fleet->targets[0]));
 }
 
-// Guards against a request that was placed before the target's word came, and is written after it.
-TEST_F(DispatcherTest, NothingMayBeWrittenToATargetThatHasSaidItLeaves)
+// Guards against writing a request that was placed before the target announced that it leaves.
+TEST_F(DispatcherTest, NothingMayBeWrittenToATargetThatAnnouncedItLeaves)
 {
     Daemon::FleetPointer fleet = fleetOf(2);
     m_dispatcher->setFleet(fleet);
     EXPECT_TRUE(m_dispatcher->mayWrite(fleet->targets[0]));
     EXPECT_TRUE(m_dispatcher->noteNotice(1, { true, {} }));
     EXPECT_FALSE(m_dispatcher->mayWrite(fleet->targets[0]));
-    // An older list that still has it as ready changes nothing.
+    // An older list that still has the target as ready changes nothing.
     m_dispatcher->setFleet(fleetOf(2));
     EXPECT_FALSE(m_dispatcher->mayWrite(fleet->targets[0]));
     for (int n = 0; n < 5; ++n) {
@@ -276,15 +276,15 @@
         EXPECT_EQ(outcome->position, 1U);
         m_dispatcher->release(id);
     }
-    // Nor may it be where the list has it closed, or gone.
+    // Targets that are closed in the list or missing from it may not be written to, either.
     m_dispatcher->setFleet(fleetOf(2, "leaving"));
     EXPECT_FALSE(m_dispatcher->mayWrite(fleet->targets[1]));
     m_dispatcher->setFleet(fleetOf(1));
     EXPECT_FALSE(m_dispatcher->mayWrite(fleet->targets[1]));
 }
 
-// Guards against one target that cannot be reached and closes all others, as they share its key.
-TEST_F(DispatcherTest, EachTargetAndEachOfItsStartsHasAKeyOfItsOwn)
+// Guards against key collisions, by which one unreachable target would close all others.
+TEST_F(DispatcherTest, EachTargetAndEachOfItsStartsHasAUniqueKey)
 {
     EXPECT_NE(Daemon::targetKeyOf("e-1", "a"), Daemon::targetKeyOf("e-2", "a"));
     EXPECT_NE(Daemon::targetKeyOf("e-1", "a"), Daemon::targetKeyOf("e-1", "b"));
--- a/Tests/LibDaemon/TestSuspectMessages.cpp
+++ b/Tests/LibDaemon/TestSuspectMessages.cpp
@@ -10,8 +10,8 @@
 
 }
 
-// Clocks of daemons differ, and a store outlives them: what is written holds ages.
-TEST(SuspectMessages, AgesHoldWhateverTheReadersClockSays)
+// Encoded times are ages, because clocks differ between daemons and the store outlives them.
+TEST(SuspectMessages, AgesAreIndependentOfTheReadersClock)
 {
     Quarantine::Suspect suspect;
     suspect.key = { 1, 0xabcdef };
