--- a/Libraries/LibAdmission/Controller.cpp
+++ b/Libraries/LibAdmission/Controller.cpp
@@ -5,35 +5,35 @@
 
 namespace {
 
-/// How many waiting requests are looked at for one freed place: those of a group that may not use it are passed over.
+/// Maximum number of waiting requests considered for one free slot; requests that may not use the target are skipped.
 constexpr int maxOffers = 16;
 
 }
 
-Core::Result<std::unique_ptr<Controller>> Controller::create(Limits limits, PlaceHook placeHook)
+Core::Result<std::unique_ptr<Controller>> Controller::create(Limits limits, TargetChooser targetChooser)
 {
     if (limits.inFlightPerOrganisation == 0 || limits.queuedPerOrganisation == 0 || limits.queuedPerGroup == 0)
-        return Core::fail(Core::ErrorCode::BadInput, "The limits of admission must be more than 0.");
-    if (!placeHook)
-        return Core::fail(Core::ErrorCode::BadInput, "Admission needs a hook that chooses targets.");
-    return std::unique_ptr<Controller>(new Controller(limits, std::move(placeHook)));
+        return Core::fail(Core::ErrorCode::BadInput, "Admission limits must be greater than 0.");
+    if (!targetChooser)
+        return Core::fail(Core::ErrorCode::BadInput, "Admission requires a target chooser.");
+    return std::unique_ptr<Controller>(new Controller(limits, std::move(targetChooser)));
 }
 
-Controller::Controller(Limits limits, PlaceHook placeHook)
+Controller::Controller(Limits limits, TargetChooser targetChooser)
     : m_limits(limits)
-    , m_placeHook(std::move(placeHook))
+    , m_targetChooser(std::move(targetChooser))
 {
 }
 
 std::vector<Grant> Controller::setTarget(TargetId id, std::uint32_t inFlightLimit, std::vector<GroupId> groups)
 {
     Target& target = m_targets[id];
-    changeTarget(target, 0, target.inFlight);
+    updateTarget(target, 0, target.inFlight);
     target.groups = std::move(groups);
-    changeTarget(target, inFlightLimit, target.inFlight);
+    updateTarget(target, inFlightLimit, target.inFlight);
     std::vector<Grant> grants;
     for (GroupId group : target.groups)
-        serve(group, grants);
+        dispatchWaiting(group, grants);
     return grants;
 }
 
@@ -42,14 +42,14 @@
     auto it = m_targets.find(id);
     if (it == m_targets.end())
         return;
-    changeTarget(it->second, 0, it->second.inFlight);
+    updateTarget(it->second, 0, it->second.inFlight);
     it->second.groups.clear();
-    // What runs there is still counted, should the target come back before it ends.
+    // Requests still in flight stay counted, in case the target is added again before they finish.
     if (it->second.inFlight == 0)
         m_targets.erase(it);
 }
 
-void Controller::countOpen(Target const& target, bool isOpen)
+void Controller::updateOpenTargets(Target const& target, bool isOpen)
 {
     for (GroupId id : target.groups) {
         Group& group = m_groups[id];
@@ -57,19 +57,19 @@
     }
 }
 
-void Controller::changeTarget(Target& target, std::uint32_t limit, std::uint32_t inFlight)
+void Controller::updateTarget(Target& target, std::uint32_t limit, std::uint32_t inFlight)
 {
     bool hadRoom = target.hasRoom();
     target.limit = limit;
     target.inFlight = inFlight;
     if (target.hasRoom() != hadRoom)
-        countOpen(target, !hadRoom);
+        updateOpenTargets(target, !hadRoom);
 }
 
-void Controller::vacate(TargetId id)
+void Controller::releaseSlot(TargetId id)
 {
     auto it = m_targets.find(id);
-    changeTarget(it->second, it->second.limit, it->second.inFlight - 1);
+    updateTarget(it->second, it->second.limit, it->second.inFlight - 1);
     if (it->second.inFlight == 0 && it->second.groups.empty())
         m_targets.erase(it);
 }
@@ -80,19 +80,19 @@
     std::uint64_t tokens = std::max<std::uint64_t>(1, demand.tokens);
     Group& group = m_groups[demand.group];
     OrganisationId id = organisationIdOf(demand.organisation);
-    noteGroup(id, demand.group);
+    addGroup(id, demand.group);
     bool isEligible = organisationOf(id).inFlight < m_limits.inFlightPerOrganisation;
     bool isFirst = group.queue.readyOrganisations() == 0 && isEligible;
     if (isFirst && group.openTargets > 0 && demand.latestStart > now) {
-        std::optional<TargetId> target = place(demand.id, demand.group);
+        std::optional<TargetId> target = chooseTarget(demand.id, demand.group);
         if (target) {
             group.queue.charge(id, priority, tokens);
-            occupy(demand.id, InFlight { id, *target, demand.group, tokens });
+            occupySlot(demand.id, InFlight { id, *target, demand.group, tokens });
             return Grant { demand.id, *target };
         }
     }
     Decision decision = enqueue(demand, priority, id, now);
-    forgetIfIdle(id);
+    removeIfIdle(id);
     return decision;
 }
 
@@ -103,15 +103,15 @@
         return *refusal;
     Group& group = m_groups[demand.group];
     std::uint64_t tokens = std::max<std::uint64_t>(1, demand.tokens);
-    FairQueue::Place place = group.queue.add(Waiting { demand.id, id, priority, tokens, demand.latestStart });
+    FairQueue::Handle handle = group.queue.add(Waiting { demand.id, id, priority, tokens, demand.latestStart });
     Organisation& organisation = organisationOf(id);
     ++organisation.queued;
     group.queue.setEligible(id, organisation.inFlight < m_limits.inFlightPerOrganisation);
-    m_queued.emplace(demand.id, QueuedAt { demand.group, place });
+    m_queued.emplace(demand.id, QueuedAt { demand.group, handle });
     m_expiries.emplace(demand.latestStart, demand.id);
-    // There may be a place that those who wait may not use, and this one may.
+    // A slot may be free that the requests already waiting may not use but this one may.
     std::vector<Grant> grants;
-    serve(demand.group, grants);
+    dispatchWaiting(demand.group, grants);
     Decision decision = Queued {};
     for (Grant const& grant : grants) {
         if (grant.id == demand.id)
@@ -122,32 +122,32 @@
     return decision;
 }
 
-/// Refuses now what would be refused later anyway.
+/// Refuses a request that would miss its deadline or exceed a queue limit.
 std::optional<Refusal> Controller::refuseEarly(Demand const& demand, int priority, OrganisationId id, TimePoint now)
 {
     Group& group = m_groups[demand.group];
-    std::chrono::milliseconds wait = group.rate.timeFor(group.queue.tokensAhead(id, priority));
+    std::chrono::milliseconds wait = group.rate.timeToProcess(group.queue.tokensAhead(id, priority));
     if (demand.latestStart <= now)
         return Refusal { demand.id, Core::makeError(Core::ErrorCode::Timeout, "The deadline has passed."), {} };
     if (now + wait >= demand.latestStart)
         return overloaded(demand.id, "The wait would be longer than the deadline allows.", wait);
     if (organisationOf(id).queued >= m_limits.queuedPerOrganisation)
         return overloaded(demand.id, "The organisation has too many requests waiting.", wait);
-    if (group.queue.size() >= m_limits.queuedPerGroup && !makeRoom(demand.group, id))
+    if (group.queue.size() >= m_limits.queuedPerGroup && !evictFromLongestQueue(demand.group, id))
         return overloaded(demand.id, "Too many requests are waiting.", wait);
     return std::nullopt;
 }
 
-/// Refuses a request of the organisation that has most of them waiting, when it has more than this one would.
-bool Controller::makeRoom(GroupId groupId, OrganisationId id)
+/// Refuses a request of the organisation with the longest queue, if that queue is longer than this organisation's would become.
+bool Controller::evictFromLongestQueue(GroupId groupId, OrganisationId id)
 {
     Group& group = m_groups[groupId];
-    Waiting const* last = group.queue.lastOfLongest(group.queue.sizeOf(id) + 1);
+    Waiting const* last = group.queue.lastOfLongestQueue(group.queue.sizeOf(id) + 1);
     if (last == nullptr)
         return false;
     RequestId victim = last->id;
     OrganisationId owner = last->organisation;
-    std::chrono::milliseconds wait = group.rate.timeFor(group.queue.tokensAhead(owner, last->priority));
+    std::chrono::milliseconds wait = group.rate.timeToProcess(group.queue.tokensAhead(owner, last->priority));
     dequeue(victim);
     m_refusals.push_back(overloaded(victim, "The queue is full and the organisation has most of it.", wait));
     return true;
@@ -162,9 +162,9 @@
 {
     std::vector<Grant> grants;
     if (m_queued.contains(request)) {
-        OrganisationId id = m_queued.find(request)->second.place.organisation;
+        OrganisationId id = m_queued.find(request)->second.handle.organisation;
         dequeue(request);
-        forgetIfIdle(id);
+        removeIfIdle(id);
         return grants;
     }
     auto it = m_inFlight.find(request);
@@ -173,59 +173,59 @@
     InFlight ended = it->second;
     m_inFlight.erase(it);
     Group& group = m_groups[ended.group];
-    group.rate.note(ended.tokens, group.queue.size() > 0, now);
+    group.rate.recordCompletion(ended.tokens, group.queue.size() > 0, now);
     Organisation& organisation = organisationOf(ended.organisation);
     bool wasHeldBack = organisation.inFlight-- == m_limits.inFlightPerOrganisation;
     if (wasHeldBack)
         setEligible(organisation, ended.organisation, true);
-    vacate(ended.target);
+    releaseSlot(ended.target);
     auto target = m_targets.find(ended.target);
     if (target != m_targets.end()) {
         for (GroupId freed : target->second.groups)
-            serve(freed, grants);
+            dispatchWaiting(freed, grants);
     }
-    // The organisation's own limit may have been all that held its requests in other groups.
+    // The organisation's in-flight limit may have been the only thing blocking its requests in other groups.
     if (wasHeldBack) {
         for (GroupId other : organisationOf(ended.organisation).groups)
-            serve(other, grants);
+            dispatchWaiting(other, grants);
     }
-    forgetIfIdle(ended.organisation);
+    removeIfIdle(ended.organisation);
     return grants;
 }
 
-/// Hands free places to waiting requests in fair order.
-void Controller::serve(GroupId id, std::vector<Grant>& grants)
+/// Assigns free slots to waiting requests in fair queueing order.
+void Controller::dispatchWaiting(GroupId id, std::vector<Grant>& grants)
 {
     Group& group = m_groups[id];
     std::optional<TargetId> target;
     auto accept = [this, id, &target](Waiting const& it) {
-        target = place(it.id, id);
+        target = chooseTarget(it.id, id);
         return target.has_value();
     };
     while (group.openTargets > 0 && group.queue.readyOrganisations() > 0) {
-        std::optional<Waiting> next = group.queue.serve(std::ref(accept), maxOffers);
+        std::optional<Waiting> next = group.queue.dequeueNext(std::ref(accept), maxOffers);
         if (!next)
             return;
         m_queued.erase(next->id);
         m_expiries.erase({ next->latestStart, next->id });
         --organisationOf(next->organisation).queued;
-        occupy(next->id, InFlight { next->organisation, *target, id, next->tokens });
+        occupySlot(next->id, InFlight { next->organisation, *target, id, next->tokens });
         grants.push_back(Grant { next->id, *target });
     }
 }
 
-std::optional<TargetId> Controller::place(RequestId request, GroupId group) const
+std::optional<TargetId> Controller::chooseTarget(RequestId request, GroupId group) const
 {
-    std::optional<TargetId> target = m_placeHook(request, group);
+    std::optional<TargetId> target = m_targetChooser(request, group);
     if (!target || !hasRoom(*target))
         return std::nullopt;
     return target;
 }
 
-void Controller::occupy(RequestId request, InFlight inFlight)
+void Controller::occupySlot(RequestId request, InFlight inFlight)
 {
     Target& target = m_targets[inFlight.target];
-    changeTarget(target, target.limit, target.inFlight + 1);
+    updateTarget(target, target.limit, target.inFlight + 1);
     Organisation& organisation = organisationOf(inFlight.organisation);
     if (++organisation.inFlight == m_limits.inFlightPerOrganisation)
         setEligible(organisation, inFlight.organisation, false);
@@ -243,9 +243,9 @@
     auto it = m_queued.find(request);
     QueuedAt at = it->second;
     m_queued.erase(it);
-    m_expiries.erase({ at.place.it->latestStart, request });
-    --organisationOf(at.place.organisation).queued;
-    m_groups[at.group].queue.remove(at.place);
+    m_expiries.erase({ at.handle.it->latestStart, request });
+    --organisationOf(at.handle.organisation).queued;
+    m_groups[at.group].queue.remove(at.handle);
 }
 
 std::vector<Refusal> Controller::expire(TimePoint now)
@@ -253,9 +253,9 @@
     std::vector<Refusal> refusals;
     while (!m_expiries.empty() && m_expiries.begin()->first <= now) {
         RequestId request = m_expiries.begin()->second;
-        OrganisationId id = m_queued.find(request)->second.place.organisation;
+        OrganisationId id = m_queued.find(request)->second.handle.organisation;
         dequeue(request);
-        forgetIfIdle(id);
+        removeIfIdle(id);
         refusals.push_back(Refusal { request, Core::makeError(Core::ErrorCode::Timeout, "The deadline passed in the queue."), {} });
     }
     return refusals;
@@ -313,20 +313,20 @@
     return id;
 }
 
-void Controller::noteGroup(OrganisationId id, GroupId group)
+void Controller::addGroup(OrganisationId id, GroupId group)
 {
     std::vector<GroupId>& groups = organisationOf(id).groups;
     if (std::find(groups.begin(), groups.end(), group) == groups.end())
         groups.push_back(group);
 }
 
-void Controller::forgetIfIdle(OrganisationId id)
+void Controller::removeIfIdle(OrganisationId id)
 {
     Organisation& organisation = organisationOf(id);
     if (organisation.inFlight > 0 || organisation.queued > 0)
         return;
     for (GroupId group : organisation.groups)
-        m_groups[group].queue.forget(id);
+        m_groups[group].queue.removeOrganisation(id);
     m_organisationIds.erase(organisation.name);
     organisation = Organisation();
     m_freeIds.push_back(id);
--- a/Libraries/LibAdmission/Controller.h
+++ b/Libraries/LibAdmission/Controller.h
@@ -18,58 +18,58 @@
 
 namespace Admission {
 
-/// Lets requests in within the limits per target and per organisation, queues the others fairly and refuses early
-/// what would wait too long. Costs memory only for organisations with work here and for requests that wait or are
-/// in flight. Not thread-safe: one mutex around it.
+/// Admission control: enforces in-flight limits per target and per organisation, queues excess requests fairly and
+/// refuses requests early that would wait past their deadline. Memory grows only with active organisations and with
+/// queued and in-flight requests. Not thread-safe; the owner serialises calls with a mutex.
 class Controller {
 public:
     struct Limits {
         std::uint32_t inFlightPerOrganisation { 256 };
-        std::uint32_t queuedPerOrganisation { 256 }; ///< In all groups together.
+        std::uint32_t queuedPerOrganisation { 256 }; ///< Across all groups.
         std::size_t queuedPerGroup { 4096 };
     };
 
-    /// Chooses a target for a request among those of its group, or none when all that it may use are full: ask
-    /// `hasRoom`. Must not call anything else here. A target without room counts as none. Requests of one group
-    /// may differ a little in what they may use (a retry leaves out the targets that it tried).
-    using PlaceHook = std::function<std::optional<TargetId>(RequestId, GroupId)>;
+    /// Chooses a target for a request from its group, or none if all eligible targets are full. May call only `hasRoom`
+    /// on the controller. A target without room is treated as none. Eligible targets may differ between the requests
+    /// of a group (a retry excludes the targets that it has already tried).
+    using TargetChooser = std::function<std::optional<TargetId>(RequestId, GroupId)>;
 
-    /// Errors: BadInput for a limit of 0 or no hook.
-    static Core::Result<std::unique_ptr<Controller>> create(Limits, PlaceHook);
+    /// Errors: BadInput for a limit of 0 or an empty chooser.
+    static Core::Result<std::unique_ptr<Controller>> create(Limits, TargetChooser);
 
-    /// Adds or changes a target: its limit in flight (0 closes it) and the groups that it is in. A lower limit
-    /// ends nothing that runs. Returns requests that now may go.
+    /// Adds or updates a target with its in-flight limit (0 closes it) and its groups. Lowering the limit does not
+    /// cancel requests in flight. Returns the requests admitted as a result.
     std::vector<Grant> setTarget(TargetId, std::uint32_t inFlightLimit, std::vector<GroupId> groups);
 
-    /// Removes a target; what runs there still ends with `release`.
+    /// Removes a target. Requests in flight there still have to be released.
     void removeTarget(TargetId);
 
-    /// The request waits; a `Grant` or `Refusal` follows.
+    /// The request is queued; a `Grant` or `Refusal` follows.
     struct Queued { };
     using Decision = std::variant<Grant, Queued, Refusal>;
 
-    /// Asks for a request. Refuses with Overloaded (not run) when its organisation's or the group's queue is full or
-    /// the estimated wait is beyond `latestStart`. Other requests that may go now are in `takeGrants`; one that was
-    /// refused to make room is in `takeRefusals`. Precondition: the id is not here.
+    /// Submits a request. Refuses it with Overloaded (not run) if its organisation's or group's queue is full or the
+    /// estimated wait exceeds `latestStart`. Other requests admitted by this call are returned by `takeGrants`; a request
+    /// evicted to make room, by `takeRefusals`. Precondition: the id is neither queued nor in flight.
     Decision enter(Demand const&, TimePoint now);
 
-    /// Ends a request that was granted, or takes one out that waits; unknown ids change nothing. Returns requests
-    /// that now may go.
+    /// Ends a granted request or removes a queued one; unknown ids are ignored. Returns the requests admitted as a
+    /// result.
     std::vector<Grant> release(RequestId, TimePoint now);
 
-    /// Refuses what can't start in time any more. Call when `nextExpiry` is due.
+    /// Refuses queued requests whose latest start has passed. Call when `nextExpiry` is due.
     std::vector<Refusal> expire(TimePoint now);
 
-    /// When the next waiting request's time runs out.
+    /// The earliest `latestStart` of the queued requests.
     std::optional<TimePoint> nextExpiry() const;
 
-    /// Returns and forgets the waiting requests that `enter` found a place for.
+    /// Returns and clears the queued requests that calls to `enter` admitted.
     std::vector<Grant> takeGrants();
 
-    /// Returns and forgets the waiting requests that had to make room for a smaller user.
+    /// Returns and clears the queued requests evicted in favour of organisations with shorter queues.
     std::vector<Refusal> takeRefusals();
 
-    /// Whether a target is known, open and under its limit.
+    /// Whether a target is known, open and below its in-flight limit.
     bool hasRoom(TargetId) const;
 
     std::uint32_t inFlightAt(TargetId) const;
@@ -88,12 +88,12 @@
         std::string name;
         std::uint32_t inFlight { 0 };
         std::uint32_t queued { 0 };
-        std::vector<GroupId> groups; ///< Where it has a flow.
+        std::vector<GroupId> groups; ///< Groups in which it has a flow.
     };
     struct Group {
         FairQueue queue;
         RateEstimate rate;
-        std::uint32_t openTargets { 0 }; ///< Those with room.
+        std::uint32_t openTargets { 0 }; ///< Targets with room.
     };
     struct InFlight {
         OrganisationId organisation { 0 };
@@ -103,33 +103,33 @@
     };
     struct QueuedAt {
         GroupId group { 0 };
-        FairQueue::Place place;
+        FairQueue::Handle handle;
     };
 
-    Controller(Limits, PlaceHook);
+    Controller(Limits, TargetChooser);
     OrganisationId organisationIdOf(std::string const& name);
     Organisation& organisationOf(OrganisationId id) { return m_organisations[id]; }
-    void forgetIfIdle(OrganisationId);
-    void noteGroup(OrganisationId, GroupId);
-    std::optional<TargetId> place(RequestId, GroupId) const;
-    void changeTarget(Target&, std::uint32_t limit, std::uint32_t inFlight);
-    void countOpen(Target const&, bool isOpen);
-    void occupy(RequestId, InFlight);
-    void vacate(TargetId);
+    void removeIfIdle(OrganisationId);
+    void addGroup(OrganisationId, GroupId);
+    std::optional<TargetId> chooseTarget(RequestId, GroupId) const;
+    void updateTarget(Target&, std::uint32_t limit, std::uint32_t inFlight);
+    void updateOpenTargets(Target const&, bool isOpen);
+    void occupySlot(RequestId, InFlight);
+    void releaseSlot(TargetId);
     void setEligible(Organisation const&, OrganisationId, bool);
     Decision enqueue(Demand const&, int priority, OrganisationId, TimePoint now);
     std::optional<Refusal> refuseEarly(Demand const&, int priority, OrganisationId, TimePoint now);
-    bool makeRoom(GroupId, OrganisationId);
+    bool evictFromLongestQueue(GroupId, OrganisationId);
     void dequeue(RequestId);
-    void serve(GroupId, std::vector<Grant>&);
+    void dispatchWaiting(GroupId, std::vector<Grant>&);
     Refusal overloaded(RequestId, std::string_view message, std::chrono::milliseconds retryAfter) const;
 
     Limits m_limits;
-    PlaceHook m_placeHook;
+    TargetChooser m_targetChooser;
     boost::unordered_flat_map<TargetId, Target> m_targets;
     std::map<GroupId, Group> m_groups;
     boost::unordered_flat_map<std::string, OrganisationId> m_organisationIds;
-    std::vector<Organisation> m_organisations; ///< By id; free ones are in `m_freeIds`.
+    std::vector<Organisation> m_organisations; ///< Indexed by id; unused ids are in `m_freeIds`.
     std::vector<OrganisationId> m_freeIds;
     boost::unordered_flat_map<RequestId, InFlight> m_inFlight;
     boost::unordered_flat_map<RequestId, QueuedAt> m_queued;
--- a/Libraries/LibAdmission/Demand.h
+++ b/Libraries/LibAdmission/Demand.h
@@ -7,32 +7,32 @@
 
 namespace Admission {
 
-/// Monotonic time, always handed in.
+/// Monotonic time, always passed in by the caller.
 using TimePoint = std::chrono::steady_clock::time_point;
 
-/// The shell's number for a request that asks, waits or is in flight; unique among those.
+/// Caller-assigned id of a request, unique among those submitted, queued or in flight.
 using RequestId = std::uint64_t;
 
-/// The shell's number for a target.
+/// Caller-assigned id of a target.
 using TargetId = std::uint32_t;
 
-/// The shell's number for a set of targets that the same work may go to. Its requests share one queue.
+/// Caller-assigned id of a set of targets that can run the same requests. Requests of a group share one queue.
 using GroupId = std::uint32_t;
 
-/// How many priorities there are: 0 goes first, 9 last.
+/// Number of priorities; 0 is the highest, 9 the lowest.
 inline constexpr int priorityCount = 10;
 
-/// What a request asks for.
+/// Admission parameters of a request.
 struct Demand {
     RequestId id { 0 };
     std::string organisation;
     GroupId group { 0 };
-    int priority { priorityCount / 2 }; ///< Values outside 0..9 count as the nearest one.
-    std::uint64_t tokens { 1 }; ///< Estimated work, prompt and output; 0 counts as 1.
-    TimePoint latestStart; ///< Starting later is of no use to the caller.
+    int priority { priorityCount / 2 }; ///< Clamped to 0..9.
+    std::uint64_t tokens { 1 }; ///< Estimated prompt and output tokens; 0 counts as 1.
+    TimePoint latestStart; ///< Past this the caller's deadline can't be met.
 };
 
-/// A request that may go to a target now.
+/// Admission of a request to a target.
 struct Grant {
     RequestId id { 0 };
     TargetId target { 0 };
@@ -40,11 +40,11 @@
     bool operator==(Grant const&) const = default;
 };
 
-/// A request that is not let in; it certainly has not run.
+/// Rejection of a request that is guaranteed not to have run.
 struct Refusal {
     RequestId id { 0 };
     Core::Error error;
-    std::chrono::milliseconds retryAfter { 0 }; ///< When the queue is expected to have room; 0 for no estimate.
+    std::chrono::milliseconds retryAfter { 0 }; ///< Estimated time until the queue has room; 0: no estimate.
 };
 
 }
--- a/Libraries/LibAdmission/FairQueue.cpp
+++ b/Libraries/LibAdmission/FairQueue.cpp
@@ -5,12 +5,12 @@
 
 namespace {
 
-/// Shares of the priorities 0 to 9: each step is worth about 1.6.
-constexpr std::array<double, priorityCount> shares { 69, 43, 27, 17, 11, 7, 4, 3, 2, 1 };
+/// Weights of the priorities 0 to 9; adjacent priorities differ by a factor of about 1.6.
+constexpr std::array<double, priorityCount> priorityWeights { 69, 43, 27, 17, 11, 7, 4, 3, 2, 1 };
 
-double costOf(int priority, std::uint64_t tokens)
+double weightedCost(int priority, std::uint64_t tokens)
 {
-    return static_cast<double>(tokens) / shares[static_cast<std::size_t>(priority)];
+    return static_cast<double>(tokens) / priorityWeights[static_cast<std::size_t>(priority)];
 }
 
 }
@@ -21,54 +21,54 @@
     if (!it) {
         it = std::make_unique<Flow>();
         it->organisation = organisation;
-        it->start = m_time;
+        it->startTag = m_virtualTime;
     }
     return *it;
 }
 
-void FairQueue::unlist(Flow const& it)
+void FairQueue::removeFromIndexes(Flow const& it)
 {
-    m_ready.erase({ it.start, it.organisation });
+    m_ready.erase({ it.startTag, it.organisation });
     m_bySize.erase({ it.size, it.organisation });
 }
 
-void FairQueue::list(Flow const& it)
+void FairQueue::addToIndexes(Flow const& it)
 {
     if (isReady(it))
-        m_ready.emplace(it.start, it.organisation);
+        m_ready.emplace(it.startTag, it.organisation);
     if (it.size > 0)
         m_bySize.emplace(it.size, it.organisation);
 }
 
-FairQueue::Place FairQueue::add(Waiting waiting)
+FairQueue::Handle FairQueue::add(Waiting waiting)
 {
     Flow& it = flow(waiting.organisation);
-    unlist(it);
+    removeFromIndexes(it);
     std::size_t priority = static_cast<std::size_t>(waiting.priority);
-    // What was idle starts from now: shares are not saved up.
+    // An idle flow restarts at the current virtual time: unused share doesn't accumulate.
     if (it.size == 0)
-        it.start = std::max(it.start, m_time);
-    if (it.lines[priority].empty())
-        it.innerStarts[priority] = std::max(it.innerStarts[priority], it.innerTime);
+        it.startTag = std::max(it.startTag, m_virtualTime);
+    if (it.queues[priority].empty())
+        it.priorityStartTags[priority] = std::max(it.priorityStartTags[priority], it.priorityVirtualTime);
     ++it.size;
     ++m_size;
     it.tokens += waiting.tokens;
     m_tokens += waiting.tokens;
-    Place place { waiting.organisation, waiting.priority, it.lines[priority].insert(it.lines[priority].end(), waiting) };
-    list(it);
-    return place;
+    Handle handle { waiting.organisation, waiting.priority, it.queues[priority].insert(it.queues[priority].end(), waiting) };
+    addToIndexes(it);
+    return handle;
 }
 
-void FairQueue::remove(Place const& place)
+void FairQueue::remove(Handle const& handle)
 {
-    Flow& it = flow(place.organisation);
-    unlist(it);
+    Flow& it = flow(handle.organisation);
+    removeFromIndexes(it);
     --it.size;
     --m_size;
-    it.tokens -= place.it->tokens;
-    m_tokens -= place.it->tokens;
-    it.lines[static_cast<std::size_t>(place.priority)].erase(place.it);
-    list(it);
+    it.tokens -= handle.it->tokens;
+    m_tokens -= handle.it->tokens;
+    it.queues[static_cast<std::size_t>(handle.priority)].erase(handle.it);
+    addToIndexes(it);
 }
 
 int FairQueue::nextPriority(Flow const& it)
@@ -76,42 +76,42 @@
     int best = -1;
     for (int priority = 0; priority < priorityCount; ++priority) {
         std::size_t i = static_cast<std::size_t>(priority);
-        if (it.lines[i].empty())
+        if (it.queues[i].empty())
             continue;
-        if (best < 0 || it.innerStarts[i] < it.innerStarts[static_cast<std::size_t>(best)])
+        if (best < 0 || it.priorityStartTags[i] < it.priorityStartTags[static_cast<std::size_t>(best)])
             best = priority;
     }
     return best;
 }
 
-void FairQueue::serveFrom(Flow& it, int priority, std::uint64_t tokens)
+void FairQueue::advanceVirtualTime(Flow& it, int priority, std::uint64_t tokens)
 {
     std::size_t i = static_cast<std::size_t>(priority);
-    double cost = costOf(priority, tokens);
-    it.start = std::max(it.start, m_time);
-    m_time = it.start;
-    it.start += cost;
-    it.innerStarts[i] = std::max(it.innerStarts[i], it.innerTime);
-    it.innerTime = it.innerStarts[i];
-    it.innerStarts[i] += cost;
+    double cost = weightedCost(priority, tokens);
+    it.startTag = std::max(it.startTag, m_virtualTime);
+    m_virtualTime = it.startTag;
+    it.startTag += cost;
+    it.priorityStartTags[i] = std::max(it.priorityStartTags[i], it.priorityVirtualTime);
+    it.priorityVirtualTime = it.priorityStartTags[i];
+    it.priorityStartTags[i] += cost;
 }
 
-Waiting FairQueue::take(Flow& it, int priority)
+Waiting FairQueue::dequeueHead(Flow& it, int priority)
 {
-    std::list<Waiting>& line = it.lines[static_cast<std::size_t>(priority)];
-    Waiting waiting = line.front();
-    unlist(it);
-    line.pop_front();
+    std::list<Waiting>& queue = it.queues[static_cast<std::size_t>(priority)];
+    Waiting waiting = queue.front();
+    removeFromIndexes(it);
+    queue.pop_front();
     --it.size;
     --m_size;
     it.tokens -= waiting.tokens;
     m_tokens -= waiting.tokens;
-    serveFrom(it, priority, waiting.tokens);
-    list(it);
+    advanceVirtualTime(it, priority, waiting.tokens);
+    addToIndexes(it);
     return waiting;
 }
 
-std::optional<Waiting> FairQueue::serve(std::function<bool(Waiting const&)> const& accept, int maxOffers)
+std::optional<Waiting> FairQueue::dequeueNext(std::function<bool(Waiting const&)> const& accept, int maxOffers)
 {
     int offers = 0;
     for (std::pair<double, OrganisationId> const& ready : m_ready) {
@@ -119,8 +119,8 @@
             break;
         Flow& it = *m_flows.find(ready.second)->second;
         int priority = nextPriority(it);
-        if (accept(it.lines[static_cast<std::size_t>(priority)].front()))
-            return take(it, priority);
+        if (accept(it.queues[static_cast<std::size_t>(priority)].front()))
+            return dequeueHead(it, priority);
     }
     return std::nullopt;
 }
@@ -128,9 +128,9 @@
 void FairQueue::charge(OrganisationId organisation, int priority, std::uint64_t tokens)
 {
     Flow& it = flow(organisation);
-    unlist(it);
-    serveFrom(it, priority, tokens);
-    list(it);
+    removeFromIndexes(it);
+    advanceVirtualTime(it, priority, tokens);
+    addToIndexes(it);
 }
 
 void FairQueue::setEligible(OrganisationId organisation, bool isEligible)
@@ -139,27 +139,27 @@
     if (found == m_flows.end() || found->second->isEligible == isEligible)
         return;
     Flow& it = *found->second;
-    unlist(it);
+    removeFromIndexes(it);
     it.isEligible = isEligible;
-    list(it);
+    addToIndexes(it);
 }
 
-void FairQueue::forget(OrganisationId organisation)
+void FairQueue::removeOrganisation(OrganisationId organisation)
 {
     auto it = m_flows.find(organisation);
     if (it != m_flows.end() && it->second->size == 0)
         m_flows.erase(it);
 }
 
-Waiting const* FairQueue::lastOfLongest(std::size_t than) const
+Waiting const* FairQueue::lastOfLongestQueue(std::size_t longerThan) const
 {
-    if (m_bySize.empty() || m_bySize.rbegin()->first <= than)
+    if (m_bySize.empty() || m_bySize.rbegin()->first <= longerThan)
         return nullptr;
     Flow const& it = *m_flows.find(m_bySize.rbegin()->second)->second;
     for (int priority = priorityCount - 1; priority >= 0; --priority) {
-        std::list<Waiting> const& line = it.lines[static_cast<std::size_t>(priority)];
-        if (!line.empty())
-            return &line.back();
+        std::list<Waiting> const& queue = it.queues[static_cast<std::size_t>(priority)];
+        if (!queue.empty())
+            return &queue.back();
     }
     return nullptr;
 }
@@ -176,16 +176,16 @@
     auto found = m_flows.find(organisation);
     double own = 0;
     if (found != m_flows.end() && found->second->tokens > 0) {
-        // Within the organisation a higher priority hardly waits for a lower one.
+        // Within an organisation, requests of a higher priority rarely wait for those of a lower one.
         Flow const& it = *found->second;
         double share = 0;
         for (int other = 0; other <= priority; ++other) {
-            std::list<Waiting> const& line = it.lines[static_cast<std::size_t>(other)];
-            share += static_cast<double>(line.size());
+            std::list<Waiting> const& queue = it.queues[static_cast<std::size_t>(other)];
+            share += static_cast<double>(queue.size());
         }
         own = static_cast<double>(it.tokens) * share / static_cast<double>(it.size);
     }
-    // While this organisation's own line is served once, each other one is served as much at most.
+    // While this organisation's queue is served once, every other organisation receives at most the same service.
     std::size_t others = m_bySize.size();
     double mean = m_size == 0 ? 0 : total / static_cast<double>(m_size);
     return std::min(total, (own + mean) * static_cast<double>(others));
--- a/Libraries/LibDaemon/DaemonOperators.cpp
+++ b/Libraries/LibDaemon/DaemonOperators.cpp
@@ -37,7 +37,7 @@
         boost::json::array ends;
         for (Quarantine::TargetEnd const& end : suspect.ends)
             ends.push_back(boost::json::object { { "target", end.target.name }, { "service", end.target.service }, { "release", end.target.release }, { "age_ms", std::chrono::duration_cast<std::chrono::milliseconds>(now - end.at).count() } });
-        list.push_back(boost::json::object { { "work_key", toLogText(suspect.key) }, { "refused", m_guard.standing(suspect.key) == Quarantine::Guard::Standing::Refused }, { "ends", std::move(ends) } });
+        list.push_back(boost::json::object { { "work_key", toLogText(suspect.key) }, { "refused", m_guard.disposition(suspect.key) == Quarantine::Guard::Disposition::Refused }, { "ends", std::move(ends) } });
     }
     return Http::jsonResponse(Http::Status::Ok, boost::json::serialize(boost::json::object { { "suspects", std::move(list) } }));
 }
--- a/Libraries/LibDaemon/QuarantineExchange.cpp
+++ b/Libraries/LibDaemon/QuarantineExchange.cpp
@@ -38,14 +38,14 @@
 
 void QuarantineExchange::describe(BeaconMessage& beacon, Clock::time_point now) const
 {
-    beacon.suspectNews = m_guard.news(now, Quarantine::tellTime(m_book.beaconInterval()));
+    beacon.suspectNews = m_guard.news(now, Quarantine::newsLifetime(m_book.beaconInterval()));
     if (m_catchUp.isCaughtUp())
         beacon.suspectDigest = m_guard.digest();
 }
 
 void QuarantineExchange::take(BeaconMessage const& beacon, Clock::time_point now)
 {
-    m_catchUp.hear(beacon.sender.name, beacon.suspectDigest, m_guard.digest(), now);
+    m_catchUp.notePeerDigest(beacon.sender.name, beacon.suspectDigest, m_guard.digest(), now);
     if (beacon.suspectNews.empty())
         return;
     std::vector<Quarantine::SuspectNews> news = beacon.suspectNews;
@@ -60,7 +60,7 @@
         if (!it.ended && m_stored.contains(it.key))
             m_toStore.insert(it.key);
     }
-    logFindings(m_guard.take(news), beacon.sender.name);
+    logFindings(m_guard.merge(news), beacon.sender.name);
 }
 
 void QuarantineExchange::noteFindings(std::vector<Quarantine::Finding> const& findings)
@@ -113,13 +113,13 @@
         if (suspect.value().survivedAt != Clock::time_point())
             news.push_back({ suspect.value().key, std::nullopt, suspect.value().survivedAt, suspect.value().survivedAt });
     }
-    logFindings(m_guard.take(news), toldBy);
+    logFindings(m_guard.merge(news), toldBy);
     return m_guard.digest() != before;
 }
 
 void QuarantineExchange::tick(bool readsStore, Clock::time_point now)
 {
-    std::optional<std::string> peer = m_catchUp.whomToAsk(m_guard.digest(), m_book.beaconInterval(), m_book.silentTime(), now);
+    std::optional<std::string> peer = m_catchUp.peerToQuery(m_guard.digest(), m_book.beaconInterval(), m_book.silentTime(), now);
     if (peer) {
         boost::asio::co_spawn(
             m_context, [this, peer = std::move(*peer)] { return ask(peer); }, boost::asio::detached);
@@ -141,7 +141,7 @@
 {
     std::map<std::string, Fleet::BookedDaemon>::const_iterator it = m_book.daemons().find(peer);
     if (it == m_book.daemons().end()) {
-        m_catchUp.noteAnswer(false, false, Clock::now());
+        m_catchUp.noteReply(false, false, Clock::now());
         co_return;
     }
     RecordsRequest request { Platform::StoreTopic::Suspects, 0, true };
@@ -149,7 +149,7 @@
     if (m_isStopped)
         co_return;
     bool isNews = told.has_value() && takeRecords(told.value().extract.records, peer);
-    m_catchUp.noteAnswer(told.has_value(), isNews, Clock::now());
+    m_catchUp.noteReply(told.has_value(), isNews, Clock::now());
     std::string problem = told.has_error() ? told.error().message : "-";
     Core::logEvent(told.has_error() ? Core::Severity::Info : Core::Severity::Debug, Core::Event::PeerRecords, { { "stream", "suspects" }, { "daemon", peer }, { "news", isNews ? "yes" : "no" }, { "error", problem } });
 }
--- a/Libraries/LibDaemon/RequestSuspicion.cpp
+++ b/Libraries/LibDaemon/RequestSuspicion.cpp
@@ -20,14 +20,14 @@
 
 std::optional<Core::Error> RequestRunner::whyQuarantined() const
 {
-    switch (m_context.guard.standing(m_work.key)) {
-    case Quarantine::Guard::Standing::Open:
+    switch (m_context.guard.disposition(m_work.key)) {
+    case Quarantine::Guard::Disposition::Open:
         return std::nullopt;
-    case Quarantine::Guard::Standing::Alone:
+    case Quarantine::Guard::Disposition::Exclusive:
         if (!m_context.guard.isOpen(m_work.key))
             return std::nullopt;
         return Core::makeError(Core::ErrorCode::Unavailable, "The same request is being run, and targets have ended while they ran it.");
-    case Quarantine::Guard::Standing::Refused:
+    case Quarantine::Guard::Disposition::Refused:
         break;
     }
     return Core::makeError(Core::ErrorCode::Quarantined, "This request has ended several targets that ran it. It is not run until their software is replaced.");
@@ -77,7 +77,7 @@
         return;
     }
     Quarantine::RunTable::Id run = std::exchange(m_run, 0);
-    if (run != 0 && m_context.guard.survive(run, Clock::now()))
+    if (run != 0 && m_context.guard.finishSuccessfully(run, Clock::now()))
         m_context.onFindings({}, m_work.key);
 }
 
@@ -92,10 +92,10 @@
         m_context.guard.finish(run);
         return;
     }
-    Quarantine::Guard::Break broken = m_context.guard.breakOff(run, Clock::now());
+    Quarantine::Guard::ConnectionLoss broken = m_context.guard.noteConnectionLost(run, Clock::now());
     if (!broken.findings.empty())
         m_context.onFindings(broken.findings, std::nullopt);
-    if (!broken.isToFindOut)
+    if (!broken.needsProbe)
         return;
     boost::asio::co_spawn(
         m_context.context, [self = shared_from_this(), copy = *target] { return self->findOut(copy); }, boost::asio::detached);
--- a/Libraries/LibDaemon/RequestUsage.cpp
+++ b/Libraries/LibDaemon/RequestUsage.cpp
@@ -8,7 +8,7 @@
 void RequestRunner::noteBegun()
 {
     if (m_work.isAuthenticated && !std::exchange(m_hasBegun, true))
-        m_context.usage.note(m_work.organisation, Core::BootClock::now());
+        m_context.usage.countRequest(m_work.organisation, Core::BootClock::now());
 }
 
 // Of calls of plain services whose answer is lost most have run. An engine may have been lost itself.
@@ -24,7 +24,7 @@
 void RequestRunner::countLostAnswer()
 {
     if (m_lostAnswer && m_work.isAuthenticated && !m_hasBegun)
-        m_context.usage.noteLost(m_work.organisation, m_lostAnswer->target, m_lostAnswer->at);
+        m_context.usage.noteLostAnswer(m_work.organisation, m_lostAnswer->target, m_lostAnswer->at);
 }
 
 }
--- a/Libraries/LibDaemon/UsageKeeper.cpp
+++ b/Libraries/LibDaemon/UsageKeeper.cpp
@@ -64,7 +64,7 @@
     Duties::UsageStatement statement;
     statement.closedBefore = Duties::windowAt(m_clock.at(now - closeMargin), m_settings.window);
     m_counter.closeBefore(statement.closedBefore);
-    statement.windows = m_counter.take(m_duty.settledBefore());
+    statement.windows = m_counter.takeFrom(m_duty.settledBefore());
     statement.settledBefore = m_duty.settledBefore();
     return statement;
 }
@@ -82,14 +82,14 @@
         m_clock.observePeer(beacon.sender.name, Duties::WallTime(beacon.wallClock + heldUp), now);
     noteOutcomes(beacon.outcomes, now);
     settleBefore(beacon.usage.settledBefore);
-    m_book.hear({ beacon.sender.name, beacon.sender.incarnation }, beacon.usage);
-    m_book.forget(m_duty.settledBefore());
+    m_book.merge({ beacon.sender.name, beacon.sender.incarnation }, beacon.usage);
+    m_book.forgetBefore(m_duty.settledBefore());
 }
 
 void UsageKeeper::noteOutcomes(std::vector<Routing::OutcomeCounts> const& outcomes, Time now)
 {
     for (Routing::OutcomeCounts const& it : outcomes)
-        m_counter.noteEnds(it.target, it.good, it.bad, now);
+        m_counter.noteOutcomes(it.target, it.good, it.bad, now);
 }
 
 void UsageKeeper::settleBefore(Duties::WindowNumber window)
@@ -109,8 +109,8 @@
         m_hasReadReports = false;
         return;
     }
-    m_book.hear({ m_self.name, m_self.incarnation }, ownStatement(now));
-    m_book.forget(m_duty.settledBefore());
+    m_book.merge({ m_self.name, m_self.incarnation }, ownStatement(now));
+    m_book.forgetBefore(m_duty.settledBefore());
     if (std::optional<Duties::WindowNumber> first = m_book.first())
         m_duty.noteUnsettled(*first);
     if (m_isWorking || !nextStep())
--- a/Libraries/LibDuties/FleetClock.cpp
+++ b/Libraries/LibDuties/FleetClock.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Boot clocks drift by less than a millisecond meanwhile, so a daemon that is cut off keeps the fleet's time.
-constexpr std::chrono::minutes keepTime { 2 };
+// Boot clocks drift by less than a millisecond in this time, so a partitioned daemon keeps the fleet's time.
+constexpr std::chrono::minutes observationLifetime { 2 };
 
 std::chrono::milliseconds sinceBoot(FleetClock::BootTime time)
 {
@@ -30,13 +30,13 @@
 void FleetClock::observe(std::string const& name, WallTime wall, BootTime now)
 {
     m_offsets[name] = { wall.time_since_epoch() - sinceBoot(now), now };
-    std::erase_if(m_offsets, [now](std::pair<std::string const, Observation> const& it) { return now - it.second.at > keepTime; });
+    std::erase_if(m_offsets, [now](std::pair<std::string const, Observation> const& it) { return now - it.second.at > observationLifetime; });
     std::vector<Offset> offsets;
     for (std::pair<std::string const, Observation> const& it : m_offsets)
         offsets.push_back(it.second.offset);
-    std::vector<Offset>::iterator middle = offsets.begin() + static_cast<std::ptrdiff_t>((offsets.size() - 1) / 2);
-    std::nth_element(offsets.begin(), middle, offsets.end());
-    m_offset = *middle;
+    std::vector<Offset>::iterator median = offsets.begin() + static_cast<std::ptrdiff_t>((offsets.size() - 1) / 2);
+    std::nth_element(offsets.begin(), median, offsets.end());
+    m_offset = *median;
 }
 
 WallTime FleetClock::at(BootTime time) const
--- a/Libraries/LibDuties/FleetClock.h
+++ b/Libraries/LibDuties/FleetClock.h
@@ -7,30 +7,30 @@
 
 namespace Duties {
 
-/// A moment of true time, in milliseconds since 1970.
+/// Fleet time, in milliseconds since the Unix epoch.
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// What the daemons together take for true time. Wall clocks may be wrong and jump on some VMs, boot clocks run evenly on all but
-/// begin anywhere: so each daemon knows how far every wall clock is ahead of its own boot clock, and goes by the median. Fewer
-/// than half of the clocks cannot move it beyond what the others say. Pure and not thread-safe.
+/// The fleet's common estimate of wall time. Wall clocks may be wrong or jump on some VMs; boot clocks are steady but have
+/// arbitrary epochs. Each daemon tracks the offset of every wall clock to its own boot clock and uses the median, so fewer than
+/// half of the clocks cannot move it outside the range of the others. Performs no I/O. Not thread-safe.
 class FleetClock {
 public:
     using BootTime = Core::BootClock::time_point;
     using Offset = std::chrono::milliseconds;
 
-    /// Takes what this VM's wall clock says at `now`.
+    /// Records this VM's wall clock at `now`.
     void observeOwn(WallTime, BootTime now);
 
-    /// Takes what a peer's wall clock said at `now`, the way of its beacon taken off.
+    /// Records a peer's wall clock at `now`, corrected for the delay of its beacon.
     void observePeer(std::string const& peer, WallTime, BootTime now);
 
-    /// Returns how far true time is ahead of this VM's boot clock; zero before anything was observed.
+    /// Returns the offset of fleet time to this VM's boot clock; zero before the first observation.
     Offset offset() const { return m_offset; }
 
-    /// Returns true time.
+    /// Converts boot time to fleet time.
     WallTime at(BootTime time) const;
 
-    /// How many wall clocks the median is of.
+    /// Number of wall clocks in the median.
     std::size_t clocks() const { return m_offsets.size(); }
 
 private:
@@ -41,7 +41,7 @@
 
     void observe(std::string const& name, WallTime, BootTime now);
 
-    std::map<std::string, Observation> m_offsets; ///< By daemon; this one's name is empty.
+    std::map<std::string, Observation> m_offsets; ///< Keyed by daemon; the local daemon has an empty name.
     Offset m_offset { 0 };
 };
 
--- a/Libraries/LibDuties/Usage.h
+++ b/Libraries/LibDuties/Usage.h
@@ -8,22 +8,22 @@
 
 namespace Duties {
 
-/// The number of a window of true time: window n begins n window lengths after the start of 1970.
+/// Number of a window of fleet time: window n begins n window lengths after the Unix epoch.
 using WindowNumber = std::uint64_t;
 
-/// How many requests of each organisation began to run.
+/// Number of requests that started to run, per organisation.
 using OrganisationCounts = std::map<std::string, std::uint64_t>;
 
-/// What a daemon says of the requests that began to run through it.
+/// A daemon's counts of the requests that started to run through it.
 struct UsageStatement {
-    std::map<WindowNumber, OrganisationCounts> windows; ///< All that it has counted in windows that are not settled.
-    WindowNumber closedBefore { 0 }; ///< In windows before this one it counts nothing more.
-    WindowNumber settledBefore { 0 }; ///< Windows before this one are reported, or given up, as far as it knows.
+    std::map<WindowNumber, OrganisationCounts> windows; ///< Its counts in windows that are not settled.
+    WindowNumber closedBefore { 0 }; ///< It counts no more requests in windows before this one.
+    WindowNumber settledBefore { 0 }; ///< As far as it knows, all windows before this one are reported or given up.
 
     bool operator==(UsageStatement const&) const = default;
 };
 
-/// What is reported of one window.
+/// The usage report of one window.
 struct UsageReport {
     WindowNumber window { 0 };
     OrganisationCounts counts;
@@ -31,13 +31,13 @@
     bool operator==(UsageReport const&) const = default;
 };
 
-/// Returns the window that a moment is in. Precondition: the length is above zero. Thread-safe.
+/// Returns the window that contains a time. Precondition: the length is positive. Thread-safe.
 inline WindowNumber windowAt(WallTime time, std::chrono::milliseconds length)
 {
     return static_cast<WindowNumber>(time.time_since_epoch() / length);
 }
 
-/// Returns when a window ends. Thread-safe.
+/// Returns the end of a window. Thread-safe.
 inline WallTime endOf(WindowNumber window, std::chrono::milliseconds length)
 {
     return WallTime(length * static_cast<std::int64_t>(window + 1));
--- a/Libraries/LibDuties/UsageBook.cpp
+++ b/Libraries/LibDuties/UsageBook.cpp
@@ -4,12 +4,12 @@
 
 namespace Duties {
 
-void UsageBook::hear(Speaker const& speaker, UsageStatement const& statement)
+void UsageBook::merge(DaemonProcess const& process, UsageStatement const& statement)
 {
-    Share& share = m_shares[speaker];
-    share.closedBefore = std::max(share.closedBefore, statement.closedBefore);
+    ProcessUsage& usage = m_processes[process];
+    usage.closedBefore = std::max(usage.closedBefore, statement.closedBefore);
     for (std::pair<WindowNumber const, OrganisationCounts> const& window : statement.windows) {
-        OrganisationCounts& counts = share.windows[window.first];
+        OrganisationCounts& counts = usage.windows[window.first];
         for (std::pair<std::string const, std::uint64_t> const& it : window.second) {
             std::uint64_t& count = counts[it.first];
             count = std::max(count, it.second);
@@ -20,7 +20,7 @@
 OrganisationCounts UsageBook::total(WindowNumber window) const
 {
     OrganisationCounts sum;
-    for (std::pair<Speaker const, Share> const& it : m_shares) {
+    for (std::pair<DaemonProcess const, ProcessUsage> const& it : m_processes) {
         std::map<WindowNumber, OrganisationCounts>::const_iterator counts = it.second.windows.find(window);
         if (counts == it.second.windows.end())
             continue;
@@ -30,27 +30,27 @@
     return sum;
 }
 
-bool UsageBook::hasClosed(Speaker const& speaker, WindowNumber window) const
+bool UsageBook::hasClosed(DaemonProcess const& process, WindowNumber window) const
 {
-    std::map<Speaker, Share>::const_iterator it = m_shares.find(speaker);
-    return it != m_shares.end() && it->second.closedBefore > window;
+    std::map<DaemonProcess, ProcessUsage>::const_iterator it = m_processes.find(process);
+    return it != m_processes.end() && it->second.closedBefore > window;
 }
 
 std::optional<WindowNumber> UsageBook::first() const
 {
     std::optional<WindowNumber> first;
-    for (std::pair<Speaker const, Share> const& it : m_shares) {
+    for (std::pair<DaemonProcess const, ProcessUsage> const& it : m_processes) {
         if (!it.second.windows.empty())
             first = std::min(first.value_or(it.second.windows.begin()->first), it.second.windows.begin()->first);
     }
     return first;
 }
 
-void UsageBook::forget(WindowNumber window)
+void UsageBook::forgetBefore(WindowNumber window)
 {
-    for (std::pair<Speaker const, Share>& it : m_shares)
+    for (std::pair<DaemonProcess const, ProcessUsage>& it : m_processes)
         it.second.windows.erase(it.second.windows.begin(), it.second.windows.lower_bound(window));
-    std::erase_if(m_shares, [window](std::pair<Speaker const, Share> const& it) { return it.second.windows.empty() && it.second.closedBefore < window; });
+    std::erase_if(m_processes, [window](std::pair<DaemonProcess const, ProcessUsage> const& it) { return it.second.windows.empty() && it.second.closedBefore < window; });
 }
 
 }
--- a/Libraries/LibDuties/UsageBook.h
+++ b/Libraries/LibDuties/UsageBook.h
@@ -6,40 +6,40 @@
 
 namespace Duties {
 
-/// One process of a daemon.
-struct Speaker {
+/// One process (incarnation) of a daemon.
+struct DaemonProcess {
     std::string daemon;
     std::uint64_t incarnation { 0 };
 
-    auto operator<=>(Speaker const&) const = default;
+    auto operator<=>(DaemonProcess const&) const = default;
 };
 
-/// What daemons have said of the requests that began to run through them. A process that is gone has what it said last: counts of
-/// a window only grow, so the newest statement of each process is its share. Pure and not thread-safe.
+/// The usage counts of all daemon processes, from their statements. Counts of a window only grow, so the latest statement of a
+/// process is complete, and a process that is gone keeps its last one. Performs no I/O. Not thread-safe.
 class UsageBook {
 public:
-    /// Takes a statement in place of the speaker's former one. An older one changes no count to a smaller one.
-    void hear(Speaker const&, UsageStatement const&);
+    /// Merges a statement of a process. Counts never decrease, so older statements arriving late are harmless.
+    void merge(DaemonProcess const&, UsageStatement const&);
 
-    /// Returns the sum of what all processes have said of a window.
+    /// Returns the sum of all processes' counts in a window.
     OrganisationCounts total(WindowNumber) const;
 
-    /// Whether a process has said that it counts nothing more in a window.
-    bool hasClosed(Speaker const&, WindowNumber) const;
+    /// Whether a process has closed a window.
+    bool hasClosed(DaemonProcess const&, WindowNumber) const;
 
-    /// Returns the first window that anybody counted something in; nothing: there is none.
+    /// Returns the first window with counts; nothing: there is none.
     std::optional<WindowNumber> first() const;
 
-    /// Forgets windows before `window`, and processes that have nothing else.
-    void forget(WindowNumber window);
+    /// Removes windows before `window`, and processes without any other data.
+    void forgetBefore(WindowNumber window);
 
 private:
-    struct Share {
+    struct ProcessUsage {
         std::map<WindowNumber, OrganisationCounts> windows;
         WindowNumber closedBefore { 0 };
     };
 
-    std::map<Speaker, Share> m_shares;
+    std::map<DaemonProcess, ProcessUsage> m_processes;
 };
 
 }
--- a/Libraries/LibDuties/UsageCounter.cpp
+++ b/Libraries/LibDuties/UsageCounter.cpp
@@ -9,7 +9,7 @@
     m_offset = offset;
 }
 
-UsageCounter::Window* UsageCounter::openWindow(BootTime at)
+UsageCounter::Window* UsageCounter::findOpenWindow(BootTime at)
 {
     if (m_windowLength.count() == 0)
         return nullptr;
@@ -18,29 +18,29 @@
     return window < m_closedBefore ? nullptr : &m_windows[window];
 }
 
-void UsageCounter::note(std::string const& organisation, BootTime at)
+void UsageCounter::countRequest(std::string const& organisation, BootTime at)
 {
     std::lock_guard lock(m_mutex);
-    if (Window* window = openWindow(at))
+    if (Window* window = findOpenWindow(at))
         ++window->counts[organisation];
 }
 
-void UsageCounter::noteLost(std::string const& organisation, std::uint64_t target, BootTime at)
+void UsageCounter::noteLostAnswer(std::string const& organisation, std::uint64_t target, BootTime at)
 {
     std::lock_guard lock(m_mutex);
-    if (Window* window = openWindow(at))
-        ++window->lost[{ organisation, target }];
+    if (Window* window = findOpenWindow(at))
+        ++window->lostAnswers[{ organisation, target }];
 }
 
-void UsageCounter::noteEnds(std::uint64_t target, std::uint32_t answered, std::uint32_t broken, BootTime at)
+void UsageCounter::noteOutcomes(std::uint64_t target, std::uint32_t answered, std::uint32_t broken, BootTime at)
 {
     std::lock_guard lock(m_mutex);
-    Window* window = openWindow(at);
+    Window* window = findOpenWindow(at);
     if (!window)
         return;
-    Ends& ends = window->ends[target];
-    ends.answered += answered;
-    ends.broken += broken;
+    Outcomes& outcomes = window->outcomes[target];
+    outcomes.answered += answered;
+    outcomes.broken += broken;
 }
 
 void UsageCounter::closeBefore(WindowNumber window)
@@ -49,17 +49,17 @@
     m_closedBefore = std::max(m_closedBefore, window);
     for (std::map<WindowNumber, Window>::iterator it = m_windows.begin(); it != m_windows.lower_bound(m_closedBefore); ++it) {
         Window& closed = it->second;
-        for (std::pair<std::pair<std::string, std::uint64_t> const, std::uint64_t> const& lost : closed.lost) {
-            Ends const& ends = closed.ends[lost.first.second];
-            if (ends.answered > ends.broken)
+        for (std::pair<std::pair<std::string, std::uint64_t> const, std::uint64_t> const& lost : closed.lostAnswers) {
+            Outcomes const& outcomes = closed.outcomes[lost.first.second];
+            if (outcomes.answered > outcomes.broken)
                 closed.counts[lost.first.first] += lost.second;
         }
-        closed.lost.clear();
-        closed.ends.clear();
+        closed.lostAnswers.clear();
+        closed.outcomes.clear();
     }
 }
 
-std::map<WindowNumber, OrganisationCounts> UsageCounter::take(WindowNumber first)
+std::map<WindowNumber, OrganisationCounts> UsageCounter::takeFrom(WindowNumber first)
 {
     std::lock_guard lock(m_mutex);
     m_windows.erase(m_windows.begin(), m_windows.lower_bound(first));
--- a/Libraries/LibDuties/UsageDuty.cpp
+++ b/Libraries/LibDuties/UsageDuty.cpp
@@ -51,8 +51,8 @@
         return GiveUpReport { *m_next };
     if (std::optional<UsageReport> report = decided(*m_next))
         return SendReport { std::move(*report) };
-    std::chrono::milliseconds patience = std::chrono::round<std::chrono::milliseconds>(m_settings.dueWithin * m_settings.patiencePart);
-    bool isDue = now >= end + patience || (now >= end + m_settings.settleTime && isClosed(*m_next));
+    std::chrono::milliseconds closeWait = std::chrono::round<std::chrono::milliseconds>(m_settings.dueWithin * m_settings.closeWaitFraction);
+    bool isDue = now >= end + closeWait || (now >= end + m_settings.settleTime && isClosed(*m_next));
     return isDue ? std::optional<UsageStep>(DecideReport { *m_next }) : std::nullopt;
 }
 
--- a/Libraries/LibDuties/UsageDuty.h
+++ b/Libraries/LibDuties/UsageDuty.h
@@ -8,40 +8,40 @@
 
 namespace Duties {
 
-/// Times of the duty to report usage.
+/// Timing of usage reports.
 struct UsageDutySettings {
-    std::chrono::milliseconds window { 0 }; ///< The length of a window; zero: there is no such duty.
-    std::chrono::milliseconds dueWithin { 10'000 }; ///< After the end of a window its report is worth nothing any more.
+    std::chrono::milliseconds window { 0 }; ///< Window length; zero disables usage reports.
+    std::chrono::milliseconds dueWithin { 10'000 }; ///< Time after the end of a window until its report is useless.
 
-    /// No window is reported sooner after its end: until then its last counts are on their way.
+    /// Minimum delay after the end of a window, for its last counts to arrive.
     std::chrono::milliseconds settleTime { 300 };
-    /// For daemons that have not said that they have closed a window it is waited for this part of the time until it is due.
-    double patiencePart { 0.25 };
+    /// Fraction of `dueWithin` to wait for daemons that have not closed the window.
+    double closeWaitFraction { 0.25 };
 
     bool operator==(UsageDutySettings const&) const = default;
 };
 
-/// Decide what a window's report says, if nobody has: append it where the store's topic still ends as it was read.
+/// Decide a window's report, unless another daemon has: append it to the store if the topic is unchanged since it was read.
 struct DecideReport {
     WindowNumber window { 0 };
 };
 
-/// Send a report that the store holds, word for word.
+/// Send the report from the store unchanged.
 struct SendReport {
     UsageReport report;
 };
 
-/// The time for a window's report is over.
+/// Give up on a window whose report is past due.
 struct GiveUpReport {
     WindowNumber window { 0 };
 };
 
 using UsageStep = std::variant<DecideReport, SendReport, GiveUpReport>;
 
-/// What whoever has the duty does next. Windows are reported one after the other. What a report says is decided once, by a
-/// conditional append to the store, before it is sent for the first time; whoever takes the duty over reads it there and repeats
-/// just that, which the service ignores where it has it. So two reports of a window that differ are never sent, however often the
-/// holder changes and whatever is carried out late. Pure and not thread-safe.
+/// Selects the next step of the daemon that holds the usage reporting duty. Windows are reported in order. The content of a
+/// report is decided once, by a conditional append to the store, before it is first sent. A new holder reads it there and
+/// resends it unchanged; the service ignores duplicates. So two different reports of a window are never sent, however often the
+/// holder changes and however late calls take effect. Performs no I/O. Not thread-safe.
 class UsageDuty {
 public:
     explicit UsageDuty(UsageDutySettings const& settings)
@@ -49,34 +49,34 @@
     {
     }
 
-    /// Begins with the window that `now` is in: of earlier ones this daemon knows only what it is told. Later calls change nothing.
+    /// Starts with the window that contains `now`; earlier windows become known only from peers. Later calls have no effect.
     void begin(WallTime now);
 
-    /// Takes the first window that others have counted something in and not settled.
+    /// Records the first window that has counts of other daemons and is not settled.
     void noteUnsettled(WindowNumber);
 
-    /// Takes what others have settled. Windows that are settled are not reported again.
+    /// Records that others have settled all windows before this one. Settled windows are not reported again.
     void noteSettledBefore(WindowNumber);
 
-    /// Takes a report that the store holds.
+    /// Records a report that was read from or appended to the store.
     void noteDecided(UsageReport const&);
 
-    /// Notes that the service has accepted the report of a window, or that it was given up.
+    /// Records that the service has accepted a window's report, or that it was given up.
     void noteSettled(WindowNumber);
 
-    /// Returns what is to be done at `now`. `isClosed` says whether all daemons have closed a window.
+    /// Returns the next step at `now`, if any. `isClosed` tells whether all daemons have closed a window.
     std::optional<UsageStep> next(WallTime now, std::function<bool(WindowNumber)> const& isClosed) const;
 
-    /// Returns the window in front of which all are known to be settled: what this daemon has settled, or been told. Of windows before
-    /// it began it knows nothing by itself.
+    /// Returns the window before which all are known to be settled, by this daemon or from peers. A daemon has no knowledge of
+    /// its own about windows before it started.
     WindowNumber settledBefore() const { return m_settledBefore; }
 
-    /// Returns the report of a window, if it is known to be decided.
+    /// Returns the decided report of a window, if known.
     std::optional<UsageReport> decided(WindowNumber) const;
 
 private:
     UsageDutySettings m_settings;
-    std::optional<WindowNumber> m_next; ///< The first window that is not settled.
+    std::optional<WindowNumber> m_next; ///< First window that is not settled.
     bool m_isBegun { false };
     WindowNumber m_settledBefore { 0 };
     std::map<WindowNumber, UsageReport> m_decided;
--- a/Libraries/LibModel/Gate.cpp
+++ b/Libraries/LibModel/Gate.cpp
@@ -21,7 +21,7 @@
     : m_settings(settings)
     , m_hooks(std::move(hooks))
 {
-    Admission::Controller::PlaceHook place = [choose = m_hooks.place](Admission::RequestId id, Admission::GroupId) -> std::optional<Admission::TargetId> {
+    Admission::Controller::TargetChooser place = [choose = m_hooks.place](Admission::RequestId id, Admission::GroupId) -> std::optional<Admission::TargetId> {
         return choose(static_cast<std::uint32_t>(id));
     };
     Admission::Controller::Limits limits;
--- a/Libraries/LibQuarantine/CatchUp.h
+++ b/Libraries/LibQuarantine/CatchUp.h
@@ -10,58 +10,58 @@
 namespace Quarantine {
 
 struct CatchUpSettings {
-    /// News that is under way reaches all within a beacon or two; a difference that lasts longer is to be asked about.
-    std::chrono::milliseconds patience { 300 };
-    /// Where beacons come as often as this, so few daemons are there that those which start together may all ask at once.
-    std::chrono::milliseconds unspreadPatience { 100 };
-    std::chrono::milliseconds leastInterval { 300 }; ///< Between two questions; doubled while answers bring nothing.
-    std::chrono::milliseconds longestInterval { 10'000 };
+    /// New evidence reaches all daemons within one or two beacons; a digest that differs for longer triggers a query.
+    std::chrono::milliseconds gracePeriod { 300 };
+    /// At beacon intervals up to this there are few daemons, so those that start together may all query at once.
+    std::chrono::milliseconds unspreadGracePeriod { 100 };
+    std::chrono::milliseconds minimumInterval { 300 }; ///< Between two queries; doubled while replies change nothing.
+    std::chrono::milliseconds maximumInterval { 10'000 };
 };
 
-/// Whom to ask for all that is known of suspected requests: a peer whose digest has differed from this daemon's for a while.
-/// Beacons are lost, daemons are cut off and start anew; whatever they missed they notice by the next beacon of anyone.
-/// A daemon that has just started has caught up once it knows what a peer that has caught up knows, or what the store keeps.
-/// Pure and not thread-safe.
+/// Anti-entropy for suspected requests: selects a peer to fetch the full state from when its digest has differed for a while.
+/// After lost beacons, a partition or a restart, a daemon detects missing evidence by the next beacon of any peer.
+/// A daemon has caught up once it has the state of a peer that has caught up, or has read the store.
+/// Performs no I/O. Not thread-safe.
 class CatchUp {
 public:
-    /// `seed` differs from daemon to daemon, so that those that start together do not all ask one peer at one moment.
+    /// `seed` must differ between daemons, so that those that start together don't all query one peer at the same time.
     explicit CatchUp(std::uint64_t seed, CatchUpSettings const& settings = {})
         : m_settings(settings)
-        , m_interval(settings.leastInterval)
+        , m_interval(settings.minimumInterval)
         , m_random(seed)
     {
     }
 
-    /// Takes what a peer's beacon said. `digest`: nothing where the peer has not caught up itself.
-    void hear(std::string const& peer, std::optional<std::uint64_t> digest, std::uint64_t ownDigest, Time now);
+    /// Records the digest from a peer's beacon; nothing: the peer has not caught up itself.
+    void notePeerDigest(std::string const& peer, std::optional<std::uint64_t> digest, std::uint64_t ownDigest, Time now);
 
-    /// Returns whom to ask now, if anybody: one of the peers that have differed for long enough. A daemon that has not caught up asks at
-    /// once; where daemons are many, at a moment of a beacon's interval drawn at random. `patience` as in the settings, or a longer
-    /// one where beacons are seldom; peers not heard for `silentAfter` are left out.
-    std::optional<std::string> whomToAsk(std::uint64_t ownDigest, std::chrono::milliseconds patience, std::chrono::milliseconds silentAfter, Time now);
+    /// Returns the peer to query now, if any, chosen at random from those whose digest has differed for long enough. A daemon
+    /// that has not caught up queries immediately, or with many daemons after a random part of a beacon interval. `gracePeriod`
+    /// overrides the setting if it is longer, for long beacon intervals. Peers not heard from for `peerTimeout` are dropped.
+    std::optional<std::string> peerToQuery(std::uint64_t ownDigest, std::chrono::milliseconds gracePeriod, std::chrono::milliseconds peerTimeout, Time now);
 
-    /// Notes how the last question ended: whether the peer answered, and whether that changed anything here.
-    void noteAnswer(bool isAnswered, bool isNews, Time now);
+    /// Records the outcome of the last query: whether the peer replied, and whether that changed the local state.
+    void noteReply(bool hasReplied, bool hasChanged, Time now);
 
-    /// Notes that all that the store keeps has been read.
+    /// Records that all suspects in the store have been read.
     void noteLoaded() { m_isCaughtUp = true; }
 
     bool isCaughtUp() const { return m_isCaughtUp; }
 
 private:
-    struct Heard {
+    struct PeerState {
         std::uint64_t digest { 0 };
         Time at;
         std::optional<Time> differsSince;
     };
 
     CatchUpSettings m_settings;
-    std::map<std::string, Heard> m_heard;
+    std::map<std::string, PeerState> m_peers;
     std::chrono::milliseconds m_interval;
     std::mt19937_64 m_random;
-    std::optional<double> m_firstPart; ///< Of the patience, until the first question.
-    Time m_nextQuestion;
-    bool m_isAsking { false };
+    std::optional<double> m_initialDelayFraction; ///< Random part of the grace period, before the first query.
+    Time m_nextQueryAt;
+    bool m_isQueryPending { false };
     bool m_isCaughtUp { false };
 };
 
--- a/Libraries/LibQuarantine/Guard.cpp
+++ b/Libraries/LibQuarantine/Guard.cpp
@@ -4,17 +4,17 @@
 
 namespace {
 
-// Of a request that has ended as many targets as this, the next run may be the last one.
-constexpr std::size_t endsToRunAlone = 2;
+// After this many ends a request runs only once at a time: the next end may refuse it.
+constexpr std::size_t endsToRunExclusively = 2;
 
 }
 
-Guard::Standing Guard::standing(WorkKey const& key) const
+Guard::Disposition Guard::disposition(WorkKey const& key) const
 {
     std::lock_guard lock(m_mutex);
     if (m_suspects.isRefused(key))
-        return Standing::Refused;
-    return m_suspects.ends(key) >= endsToRunAlone ? Standing::Alone : Standing::Open;
+        return Disposition::Refused;
+    return m_suspects.ends(key) >= endsToRunExclusively ? Disposition::Exclusive : Disposition::Open;
 }
 
 bool Guard::isOpen(WorkKey const& key) const
@@ -43,25 +43,25 @@
     m_runs.finish(id);
 }
 
-bool Guard::survive(RunTable::Id id, Time now)
+bool Guard::finishSuccessfully(RunTable::Id id, Time now)
 {
     std::lock_guard lock(m_mutex);
     WorkKey key = m_runs.at(id).key;
     m_runs.finish(id);
     if (!m_suspects.noteSurvived(key, now))
         return false;
-    m_suspects.tell({ key, std::nullopt, now, now }, now);
+    m_suspects.addNews({ key, std::nullopt, now, now }, now);
     return true;
 }
 
-Guard::Break Guard::breakOff(RunTable::Id id, Time now)
+Guard::ConnectionLoss Guard::noteConnectionLost(RunTable::Id id, Time now)
 {
     std::lock_guard lock(m_mutex);
     std::uint64_t incarnation = m_runs.at(id).target.incarnation;
-    RunTable::AfterBreak after = m_runs.breakOff(id, now);
-    if (after == RunTable::AfterBreak::IsEnd)
+    RunTable::BreakAction after = m_runs.noteConnectionLost(id, now);
+    if (after == RunTable::BreakAction::TargetEnded)
         return { false, noteOwnEnds(incarnation, now) };
-    return { after == RunTable::AfterBreak::FindOut, {} };
+    return { after == RunTable::BreakAction::Probe, {} };
 }
 
 std::vector<Finding> Guard::noteEnded(std::uint64_t incarnation, Time now)
@@ -70,7 +70,7 @@
     return noteOwnEnds(incarnation, now);
 }
 
-// Called with the mutex held.
+// Precondition: the mutex is held.
 std::vector<Finding> Guard::noteOwnEnds(std::uint64_t incarnation, Time now)
 {
     std::vector<Finding> findings;
@@ -78,7 +78,7 @@
         std::optional<Finding> finding = m_suspects.noteEnd(it.first, it.second);
         if (!finding)
             continue;
-        m_suspects.tell({ it.first, it.second.target, it.second.begunAt, it.second.at }, now);
+        m_suspects.addNews({ it.first, it.second.target, it.second.begunAt, it.second.at }, now);
         findings.push_back(std::move(*finding));
     }
     return findings;
@@ -96,7 +96,7 @@
     m_runs.noteUnknown(incarnation);
 }
 
-std::vector<Finding> Guard::take(std::vector<SuspectNews> const& news)
+std::vector<Finding> Guard::merge(std::vector<SuspectNews> const& news)
 {
     std::lock_guard lock(m_mutex);
     std::vector<Finding> findings;
@@ -117,11 +117,11 @@
     m_suspects.setReleases(std::move(releases));
 }
 
-std::vector<SuspectNews> Guard::news(Time now, std::chrono::milliseconds tellFor)
+std::vector<SuspectNews> Guard::news(Time now, std::chrono::milliseconds lifetime)
 {
     std::lock_guard lock(m_mutex);
     m_runs.expire(now);
-    return m_suspects.news(now, tellFor);
+    return m_suspects.news(now, lifetime);
 }
 
 std::uint64_t Guard::digest() const
--- a/Libraries/LibQuarantine/Guard.h
+++ b/Libraries/LibQuarantine/Guard.h
@@ -6,7 +6,7 @@
 
 namespace Quarantine {
 
-/// What a daemon knows of requests that end targets: its own runs, and the evidence of all daemons. Thread-safe.
+/// A daemon's state on requests that end targets: its own runs and the evidence of all daemons. Thread-safe.
 class Guard {
 public:
     explicit Guard(SuspectBookSettings const& suspects = {}, RunTableSettings const& runs = {})
@@ -15,54 +15,54 @@
     {
     }
 
-    /// What may become of a request now.
-    enum class Standing : std::uint8_t {
+    /// Whether and how a request may run now.
+    enum class Disposition : std::uint8_t {
         Open, ///< It may run.
-        Alone, ///< It may run, but once at a time: one end more and it is refused.
+        Exclusive, ///< It may run, but only once at a time: one more end and it is refused.
         Refused,
     };
 
-    Standing standing(WorkKey const&) const;
+    Disposition disposition(WorkKey const&) const;
 
-    /// Whether the work is at a target now, as far as this daemon has sent it.
+    /// Whether this daemon has a run of the request in progress at a target.
     bool isOpen(WorkKey const&) const;
 
-    /// Returns the incarnations of targets at which this daemon has other suspected work. Where a target has one suspect
-    /// alone its end tells more, and a request that is not to blame does not end up beside the one that is. Empty while
-    /// the work itself is not suspected.
+    /// Returns the incarnations of targets at which this daemon runs other suspects. With one suspect per target the end
+    /// of a target is stronger evidence, and an innocent request doesn't share a target with the culprit. Empty if the
+    /// request itself is not suspected.
     std::set<std::uint64_t> targetsOfOtherSuspects(WorkKey const&) const;
 
-    /// Notes that work is being sent to a target. End it with one of the next three.
+    /// Records that a request is being sent to a target. End the run with one of the next three functions.
     RunTable::Id begin(WorkKey const&, SuspectTarget const&, Time now);
 
-    /// Notes that a run ended in a way that says nothing of the work. Unknown ids change nothing.
+    /// Ends a run without evidence for or against the request. Unknown ids are ignored.
     void finish(RunTable::Id);
 
-    /// Notes that the target ran the work to its end. Returns whether that cleared a suspect.
-    bool survive(RunTable::Id, Time now);
+    /// Ends a run that the target completed. Returns whether that cleared a suspect.
+    bool finishSuccessfully(RunTable::Id, Time now);
 
-    /// Notes that a run's connection broke. Returns whether the caller is to find out about the target, with `noteEnded`,
-    /// `noteAlive` or `noteUnknown`; findings where the target is known to have ended already.
-    struct Break {
-        bool isToFindOut { false };
+    /// Ends a run whose connection broke. Returns whether the caller has to probe the target and report the result with
+    /// `noteEnded`, `noteAlive` or `noteUnknown`; and findings if the target is already known to have ended.
+    struct ConnectionLoss {
+        bool needsProbe { false };
         std::vector<Finding> findings;
     };
-    Break breakOff(RunTable::Id, Time now);
+    ConnectionLoss noteConnectionLost(RunTable::Id, Time now);
 
-    /// Notes that a target's process has ended. Returns what that made of the works that it had.
+    /// Records that a target's process has ended. Returns the findings on the requests that it was running.
     std::vector<Finding> noteEnded(std::uint64_t incarnation, Time now);
 
     void noteAlive(std::uint64_t incarnation, Time asOf);
     void noteUnknown(std::uint64_t incarnation);
 
-    /// Takes what a peer says. Returns what that made of the works.
-    std::vector<Finding> take(std::vector<SuspectNews> const&);
+    /// Merges evidence from a peer. Returns the resulting findings.
+    std::vector<Finding> merge(std::vector<SuspectNews> const&);
 
-    /// Takes the releases that services' targets run now.
+    /// Sets the software releases that the targets of each service run now.
     void setReleases(std::map<std::string, std::set<std::string>>);
 
-    /// Returns what to tell peers now, and forgets what is too old to be told of.
-    std::vector<SuspectNews> news(Time now, std::chrono::milliseconds tellFor);
+    /// Returns the evidence to send to peers now, and removes expired evidence and runs.
+    std::vector<SuspectNews> news(Time now, std::chrono::milliseconds lifetime);
 
     std::uint64_t digest() const;
     std::vector<Suspect> suspects() const;
--- a/Libraries/LibQuarantine/RunTable.cpp
+++ b/Libraries/LibQuarantine/RunTable.cpp
@@ -14,11 +14,11 @@
     m_open.erase(id);
 }
 
-RunTable::AfterBreak RunTable::breakOff(Id id, Time now)
+RunTable::BreakAction RunTable::noteConnectionLost(Id id, Time now)
 {
     std::unordered_map<Id, Run>::iterator it = m_open.find(id);
     if (it == m_open.end())
-        return AfterBreak::Nothing;
+        return BreakAction::None;
     Run run = std::move(it->second);
     m_open.erase(it);
     std::uint64_t incarnation = run.target.incarnation;
@@ -26,13 +26,13 @@
     bool hasEnded = ended != m_ended.end() && run.begunAt <= ended->second;
     m_broken[incarnation].push_back({ std::move(run), now });
     if (hasEnded)
-        return AfterBreak::IsEnd;
-    return m_inquiries.insert(incarnation).second ? AfterBreak::FindOut : AfterBreak::Nothing;
+        return BreakAction::TargetEnded;
+    return m_pendingProbes.insert(incarnation).second ? BreakAction::Probe : BreakAction::None;
 }
 
 std::vector<std::pair<WorkKey, TargetEnd>> RunTable::noteEnded(std::uint64_t incarnation, Time now)
 {
-    m_inquiries.erase(incarnation);
+    m_pendingProbes.erase(incarnation);
     std::vector<BrokenRun> broken;
     std::map<std::uint64_t, std::vector<BrokenRun>>::iterator it = m_broken.find(incarnation);
     if (it != m_broken.end()) {
@@ -48,7 +48,7 @@
 
 void RunTable::noteAlive(std::uint64_t incarnation, Time asOf)
 {
-    m_inquiries.erase(incarnation);
+    m_pendingProbes.erase(incarnation);
     std::map<std::uint64_t, std::vector<BrokenRun>>::iterator it = m_broken.find(incarnation);
     if (it != m_broken.end())
         std::erase_if(it->second, [&](BrokenRun const& one) { return one.at <= asOf; });
@@ -57,16 +57,16 @@
 void RunTable::expire(Time now)
 {
     for (std::pair<std::uint64_t const, std::vector<BrokenRun>>& it : m_broken)
-        std::erase_if(it.second, [&](BrokenRun const& one) { return now - one.at > m_settings.keepBroken; });
+        std::erase_if(it.second, [&](BrokenRun const& one) { return now - one.at > m_settings.brokenRunRetention; });
     std::erase_if(m_broken, [](std::pair<std::uint64_t const, std::vector<BrokenRun>> const& it) { return it.second.empty(); });
-    std::erase_if(m_ended, [&](std::pair<std::uint64_t const, Time> const& it) { return now - it.second > m_settings.keepEnded; });
+    std::erase_if(m_ended, [&](std::pair<std::uint64_t const, Time> const& it) { return now - it.second > m_settings.endedTargetRetention; });
 }
 
-std::set<std::uint64_t> RunTable::targetsWithOthers(WorkKey const& key, std::function<bool(WorkKey const&)> const& isMeant) const
+std::set<std::uint64_t> RunTable::targetsWithOthers(WorkKey const& key, std::function<bool(WorkKey const&)> const& matches) const
 {
     std::set<std::uint64_t> targets;
     for (std::pair<Id const, Run> const& it : m_open) {
-        if (it.second.key != key && isMeant(it.second.key))
+        if (it.second.key != key && matches(it.second.key))
             targets.insert(it.second.target.incarnation);
     }
     return targets;
--- a/Libraries/LibQuarantine/RunTable.h
+++ b/Libraries/LibQuarantine/RunTable.h
@@ -13,15 +13,15 @@
 namespace Quarantine {
 
 struct RunTableSettings {
-    /// A run whose connection broke is kept for so long: the platform's list, which tells of an end last of all, lags by three
-    /// heartbeats of a second or so, and by two seconds more after the store was away.
-    std::chrono::seconds keepBroken { 8 };
-    /// A target that has ended is remembered for so long: connections to it break within this.
-    std::chrono::seconds keepEnded { 30 };
+    /// How long a run with a broken connection is kept. The platform's target list, the slowest source on ended targets, lags by
+    /// three heartbeats of about a second, and by two more seconds after a store outage.
+    std::chrono::seconds brokenRunRetention { 8 };
+    /// How long the end of a target is remembered. Connections to it break within this time.
+    std::chrono::seconds endedTargetRetention { 30 };
 };
 
-/// This daemon's requests at targets, and whose connection broke there. A broken connection alone says nothing of the target: it
-/// counts once the target is known to have ended. Pure and not thread-safe.
+/// This daemon's runs of requests at targets, and those whose connection broke. A broken connection alone is no evidence: it
+/// counts only once the target is known to have ended. Performs no I/O. Not thread-safe.
 class RunTable {
 public:
     using Id = std::uint64_t;
@@ -31,49 +31,49 @@
     {
     }
 
-    /// Notes that a request is being sent to a target. The id is never 0.
+    /// Records that a request is being sent to a target. The id is never 0.
     Id begin(WorkKey const&, SuspectTarget const&, Time now);
 
-    /// Notes that a run is over, however it ended but by a broken connection. Unknown ids change nothing.
+    /// Ends a run for any reason other than a broken connection. Unknown ids are ignored.
     void finish(Id);
 
-    /// A request at a target.
+    /// A request in progress at a target.
     struct Run {
         WorkKey key;
         SuspectTarget target;
         Time begunAt;
     };
 
-    /// Returns a run. Precondition: it was begun and not finished or broken off.
+    /// Returns a run. Precondition: it is in progress.
     Run const& at(Id id) const { return m_open.at(id); }
 
-    /// What a broken connection calls for.
-    enum class AfterBreak : std::uint8_t {
-        Nothing, ///< Somebody finds out already.
-        FindOut, ///< Somebody has to find out whether the target's process has ended; then call one of the three below.
-        IsEnd, ///< The target is known to have ended since the run began: `noteEnded` once more returns this run.
+    /// What to do after a broken connection.
+    enum class BreakAction : std::uint8_t {
+        None, ///< A probe of the target is already pending.
+        Probe, ///< Probe whether the target's process has ended, then call one of the three functions below.
+        TargetEnded, ///< The target is known to have ended since the run began; call `noteEnded` again to get this run.
     };
 
-    /// Notes that a run's connection broke. Unknown ids change nothing.
-    AfterBreak breakOff(Id, Time now);
+    /// Ends a run whose connection broke. Unknown ids are ignored.
+    BreakAction noteConnectionLost(Id, Time now);
 
-    /// Notes that the target's process has ended. Returns the works whose runs broke there; those that are still open follow as
-    /// they break. May be called again for one that has started again under its id unknown to this daemon.
+    /// Records that the target's process has ended. Returns the requests whose connections to it broke; those still open follow
+    /// as they break. May be called again for a target that restarted under the same id without this daemon's knowledge.
     std::vector<std::pair<WorkKey, TargetEnd>> noteEnded(std::uint64_t incarnation, Time now);
 
-    /// Notes that the target was seen to live at `asOf`: what broke until then broke on the way.
+    /// Records that the target was alive at `asOf`: connections that broke until then failed in the network.
     void noteAlive(std::uint64_t incarnation, Time asOf);
 
-    /// Notes that it could not be found out: a later sign may still tell.
-    void noteUnknown(std::uint64_t incarnation) { m_inquiries.erase(incarnation); }
+    /// Records that the probe was inconclusive; later evidence may still decide.
+    void noteUnknown(std::uint64_t incarnation) { m_pendingProbes.erase(incarnation); }
 
-    /// Forgets what is too old to be told of.
+    /// Removes broken runs and ended targets past their retention.
     void expire(Time now);
 
-    /// Returns where other work than this one is open, as far as `isMeant` says so of it.
-    std::set<std::uint64_t> targetsWithOthers(WorkKey const&, std::function<bool(WorkKey const&)> const& isMeant) const;
+    /// Returns the incarnations of targets with runs in progress of other requests that satisfy `matches`.
+    std::set<std::uint64_t> targetsWithOthers(WorkKey const&, std::function<bool(WorkKey const&)> const& matches) const;
 
-    /// Whether the work is open anywhere.
+    /// Whether a run of the request is in progress at any target.
     bool isOpen(WorkKey const&) const;
 
 private:
@@ -85,9 +85,9 @@
     RunTableSettings m_settings;
     Id m_lastId { 0 };
     std::unordered_map<Id, Run> m_open;
-    std::map<std::uint64_t, std::vector<BrokenRun>> m_broken; ///< By the target's incarnation.
-    std::set<std::uint64_t> m_inquiries; ///< Targets of which somebody finds out.
-    std::map<std::uint64_t, Time> m_ended; ///< When the last end of each was known.
+    std::map<std::uint64_t, std::vector<BrokenRun>> m_broken; ///< Keyed by the target's incarnation.
+    std::set<std::uint64_t> m_pendingProbes; ///< Incarnations of targets being probed.
+    std::map<std::uint64_t, Time> m_ended; ///< When the last end of each incarnation became known.
 };
 
 }
--- a/Libraries/LibQuarantine/Suspect.h
+++ b/Libraries/LibQuarantine/Suspect.h
@@ -9,52 +9,52 @@
 
 namespace Quarantine {
 
-/// Of the clock since boot: what is believed of requests goes on ageing while the VM is suspended.
+/// Time since boot, so that evidence keeps ageing while the VM is suspended.
 using Time = Core::BootClock::time_point;
 
-/// What tells a request from others that ask for something else, the same in each attempt.
+/// Identifies a request by its content; equal for all attempts.
 using WorkKey = Request::Fingerprint;
 
-/// A target as evidence names it.
+/// A target as identified in evidence.
 struct SuspectTarget {
-    std::uint64_t incarnation { 0 }; ///< The same number at every daemon, and another one after a restart.
+    std::uint64_t incarnation { 0 }; ///< The same at every daemon; changes with a restart.
     std::string service;
-    std::string release; ///< Of its software; empty: not told.
-    std::string name {}; ///< For logs and operators.
+    std::string release; ///< Software release; empty: unknown.
+    std::string name {}; ///< For logs and operator output.
 
     bool operator==(SuspectTarget const&) const = default;
 };
 
-/// A target's process ended while it had a request.
+/// The end of a target's process while it ran a request.
 struct TargetEnd {
     SuspectTarget target;
-    Time begunAt; ///< When the request was sent there.
-    Time at; ///< When its connection broke.
+    Time begunAt; ///< When the request was sent to the target.
+    Time at; ///< When the connection broke.
 };
 
-/// What daemons tell each other of a request's work.
+/// Evidence about a request, exchanged between daemons.
 struct SuspectNews {
     WorkKey key;
-    std::optional<SuspectTarget> ended; ///< The target that ended with it; nothing: a target ran it to its end and lived on.
-    Time begunAt; ///< When the request was sent there, and
-    Time at; ///< when it happened, both by the holder's clock.
+    std::optional<SuspectTarget> ended; ///< The target that ended while running it; nothing: a target completed it and survived.
+    Time begunAt; ///< When the request was sent to the target.
+    Time at; ///< When the event happened. Both times are by the local clock of the daemon that holds the object.
 
     bool operator==(SuspectNews const&) const = default;
 };
 
-/// All that is known of one request's work.
+/// Everything known about one request.
 struct Suspect {
     WorkKey key;
-    std::vector<TargetEnd> ends; ///< Each incarnation once.
-    Time survivedAt; ///< When a target last ran it to its end; ends before count no more.
+    std::vector<TargetEnd> ends; ///< One per end of a target's process.
+    Time survivedAt; ///< When a target last completed it; earlier ends no longer count.
 };
 
-/// What evidence made of a request.
+/// The effect of new evidence on a request.
 struct Finding {
     WorkKey key;
     SuspectTarget target;
-    std::size_t ends { 0 }; ///< Of targets, with this one.
-    bool isRefused { false }; ///< It is refused from now on, and was not before.
+    std::size_t ends { 0 }; ///< Number of target ends, including this one.
+    bool isRefused { false }; ///< The request is refused from now on and was not before.
 };
 
 }
--- a/Libraries/LibQuarantine/SuspectBook.cpp
+++ b/Libraries/LibQuarantine/SuspectBook.cpp
@@ -18,24 +18,24 @@
 
 }
 
-std::chrono::milliseconds tellTime(std::chrono::milliseconds beaconInterval)
+std::chrono::milliseconds newsLifetime(std::chrono::milliseconds beaconInterval)
 {
-    constexpr std::chrono::milliseconds leastTellTime { 1'000 };
-    constexpr int toldBeacons = 4;
-    return std::max(leastTellTime, toldBeacons * beaconInterval);
+    constexpr std::chrono::milliseconds minimumLifetime { 1'000 };
+    constexpr int repeatedBeacons = 4;
+    return std::max(minimumLifetime, repeatedBeacons * beaconInterval);
 }
 
 std::optional<Finding> SuspectBook::noteEnd(WorkKey const& key, TargetEnd const& end)
 {
     std::map<WorkKey, Suspect>::iterator it = m_suspects.find(key);
     if (it == m_suspects.end()) {
-        makeRoom();
+        evictIfFull();
         it = m_suspects.emplace(key, Suspect { key, {}, {} }).first;
     }
     Suspect& suspect = it->second;
     bool isKnown = hasEnd(suspect, end);
     bool isSurvived = suspect.survivedAt != Time() && end.at <= suspect.survivedAt;
-    if (isKnown || isSurvived || suspect.ends.size() >= m_settings.mostEnds)
+    if (isKnown || isSurvived || suspect.ends.size() >= m_settings.maximumEnds)
         return std::nullopt;
     bool wasRefused = isRefused(suspect);
     m_digest -= digestOf(suspect);
@@ -46,8 +46,8 @@
 
 bool SuspectBook::isSameEnd(TargetEnd const& a, TargetEnd const& b) const
 {
-    bool isApart = a.begunAt > b.at + m_settings.separateEnds || b.begunAt > a.at + m_settings.separateEnds;
-    return a.target.incarnation == b.target.incarnation && !isApart;
+    bool areSeparate = a.begunAt > b.at + m_settings.minimumEndSeparation || b.begunAt > a.at + m_settings.minimumEndSeparation;
+    return a.target.incarnation == b.target.incarnation && !areSeparate;
 }
 
 bool SuspectBook::noteSurvived(WorkKey const& key, Time at)
@@ -68,8 +68,8 @@
     m_digest += digestOf(suspect);
 }
 
-// The sum of these does not depend on the order in which evidence came. Daemons may keep different ends of a request that
-// has ended more than enough.
+// `digest` is the sum of these, so it is independent of the order of evidence. The number of ends is capped since
+// daemons may keep different ends of a request beyond those needed to refuse it.
 std::uint64_t SuspectBook::digestOf(Suspect const& suspect) const
 {
     if (suspect.ends.empty())
@@ -78,10 +78,10 @@
     return XXH3_64bits(parts.data(), sizeof(parts));
 }
 
-// Who has ended the fewest targets goes first, and of these the one of the longest ago.
-void SuspectBook::makeRoom()
+// Evicts the suspect with the fewest ends; among equals, the one whose last end is the oldest.
+void SuspectBook::evictIfFull()
 {
-    if (m_suspects.size() < m_settings.mostSuspects)
+    if (m_suspects.size() < m_settings.maximumSuspects)
         return;
     std::map<WorkKey, Suspect>::iterator least = std::min_element(m_suspects.begin(), m_suspects.end(), [](std::pair<WorkKey const, Suspect> const& a, std::pair<WorkKey const, Suspect> const& b) {
         return std::make_pair(a.second.ends.size(), lastEndOf(a.second)) < std::make_pair(b.second.ends.size(), lastEndOf(b.second));
@@ -90,16 +90,16 @@
     m_suspects.erase(least);
 }
 
-void SuspectBook::tell(SuspectNews news, Time now)
+void SuspectBook::addNews(SuspectNews news, Time now)
 {
     m_news.emplace_back(std::move(news), now);
 }
 
-std::vector<SuspectNews> SuspectBook::news(Time now, std::chrono::milliseconds tellFor)
+std::vector<SuspectNews> SuspectBook::news(Time now, std::chrono::milliseconds lifetime)
 {
-    std::erase_if(m_news, [&](std::pair<SuspectNews, Time> const& it) { return now - it.second >= tellFor; });
+    std::erase_if(m_news, [&](std::pair<SuspectNews, Time> const& it) { return now - it.second >= lifetime; });
     std::vector<SuspectNews> news;
-    for (std::size_t n = m_news.size(); n > 0 && news.size() < m_settings.mostTold; --n)
+    for (std::size_t n = m_news.size(); n > 0 && news.size() < m_settings.maximumNewsPerBeacon; --n)
         news.push_back(m_news[n - 1].first);
     return news;
 }
@@ -118,10 +118,10 @@
 
 bool SuspectBook::isRefused(Suspect const& suspect) const
 {
-    return suspect.ends.size() >= m_settings.endsToRefuse && isSoftwareListed(suspect);
+    return suspect.ends.size() >= m_settings.endsToRefuse && isSoftwareInUse(suspect);
 }
 
-bool SuspectBook::isSoftwareListed(Suspect const& suspect) const
+bool SuspectBook::isSoftwareInUse(Suspect const& suspect) const
 {
     return std::any_of(suspect.ends.begin(), suspect.ends.end(), [&](TargetEnd const& end) {
         std::map<std::string, std::set<std::string>>::const_iterator listed = m_releases.find(end.target.service);
--- a/Libraries/LibQuarantine/SuspectBook.h
+++ b/Libraries/LibQuarantine/SuspectBook.h
@@ -9,24 +9,24 @@
 namespace Quarantine {
 
 struct SuspectBookSettings {
-    /// Ends that a request is blamed for. One end is shared by all that the target ran, and two happen to innocent requests that
-    /// are retried beside the one to blame.
+    /// Number of ends after which a request is refused. One end implicates every request on the target, and two happen to
+    /// innocent requests that are retried on the same target as the culprit.
     std::size_t endsToRefuse { 3 };
-    std::size_t mostSuspects { 4'096 }; ///< With some 200 bytes each, and what a peer that starts is told at most.
-    std::size_t mostEnds { 16 }; ///< Kept of one request; further ones change nothing.
-    /// A target may start again under its id before daemons are told, and end again: of two runs there of which one began so long
-    /// after the other had broken, each has seen another end. Longer than what moments differ by between daemons.
-    std::chrono::milliseconds separateEnds { 200 };
-    std::size_t mostTold { 64 }; ///< In one beacon; an engine has no more requests at once.
+    std::size_t maximumSuspects { 4'096 }; ///< About 200 bytes each. Also limits what a starting peer is sent.
+    std::size_t maximumEnds { 16 }; ///< Kept per request; further ones are ignored.
+    /// A target may restart under the same id unnoticed and end again: two runs saw different ends if one began more than this
+    /// long after the connection of the other broke. Exceeds the time difference between daemons.
+    std::chrono::milliseconds minimumEndSeparation { 200 };
+    std::size_t maximumNewsPerBeacon { 64 }; ///< An engine runs no more requests than this at once.
 };
 
-/// Returns for how long each word of evidence is repeated where beacons come at this interval: lost ones do no harm. Thread-safe.
-std::chrono::milliseconds tellTime(std::chrono::milliseconds beaconInterval);
+/// Returns how long evidence is repeated in beacons of this interval, so that lost beacons do no harm. Thread-safe.
+std::chrono::milliseconds newsLifetime(std::chrono::milliseconds beaconInterval);
 
-/// Which requests are suspected of ending the targets that run them, and which are refused for it. Evidence is a pair of a
-/// request's work and a target's incarnation, so daemons that saw the same end, or hear of it twice, count it once. A run that
-/// ends well clears its request. Evidence has no time limit: a request that comes back after an hour is the same request.
-/// Pure and not thread-safe.
+/// Requests suspected of ending the targets that run them, and whether they are refused for it. Evidence is a pair of a request
+/// and a target incarnation, so an end seen by several daemons or reported twice counts once. A completed run clears its
+/// request. Evidence doesn't expire: a request that is resubmitted after an hour is still the same request.
+/// Performs no I/O. Not thread-safe.
 class SuspectBook {
 public:
     explicit SuspectBook(SuspectBookSettings const& settings = {})
@@ -34,36 +34,37 @@
     {
     }
 
-    /// Notes that a target ended while it had the request. Returns what that made of it; nothing when it was known, or when the
-    /// request has been survived since.
+    /// Records that a target ended while running the request. Returns the finding; nothing if the end was known, if a target
+    /// has completed the request since, or if the request has the maximum number of ends.
     std::optional<Finding> noteEnd(WorkKey const&, TargetEnd const&);
 
-    /// Notes that a target has run the request to its end and lived on. Returns whether the request was suspected.
+    /// Records that a target completed the request and survived. Returns whether the request was suspected.
     bool noteSurvived(WorkKey const&, Time at);
 
-    /// Has `news` tell others of what was just noted, from now on. For evidence of this daemon's own.
-    void tell(SuspectNews, Time now);
+    /// Adds this daemon's own evidence to what `news` returns from now on.
+    void addNews(SuspectNews, Time now);
 
-    /// Returns what others are to be told, the newest first: what this daemon has seen itself within `tellFor`.
-    std::vector<SuspectNews> news(Time now, std::chrono::milliseconds tellFor);
+    /// Returns this daemon's own evidence of the last `lifetime` to send to peers, the newest first.
+    std::vector<SuspectNews> news(Time now, std::chrono::milliseconds lifetime);
 
-    /// Returns of how many targets the request is suspected to have ended.
+    /// Returns the number of target ends that the request is suspected of.
     std::size_t ends(WorkKey const&) const;
 
-    /// Whether the request is to be refused: it has ended enough targets, and their software still runs.
+    /// Whether the request is refused: it has ended enough targets, and a release that it ended is still in use.
     bool isRefused(WorkKey const&) const;
 
-    /// Takes the releases that a service's targets run now. A refused request may be tried again once none of those that it
-    /// ended is among them: it may have been mended, and one end more refuses it again. A service without targets tells nothing.
+    /// Sets the releases that each service's targets run now. A refused request may be retried once none of the releases that
+    /// it ended is in use: the bug may be fixed, and one more end refuses it again. A service without targets is no evidence
+    /// of a fix.
     void setReleases(std::map<std::string, std::set<std::string>>);
 
-    /// A number that is the same at daemons that suspect the same requests as much. 0 without any suspect.
+    /// Equal at daemons that hold the same suspects with the same number of ends, up to the refusal limit. 0 without suspects.
     std::uint64_t digest() const { return m_digest; }
 
-    /// All that is known, for a peer or an operator.
+    /// All suspects, for a peer or an operator.
     std::vector<Suspect> suspects() const;
 
-    /// What is known of one request; nothing when nothing is.
+    /// One suspect; nothing if the request is unknown.
     std::optional<Suspect> suspect(WorkKey const&) const;
 
     std::size_t size() const { return m_suspects.size(); }
@@ -72,17 +73,17 @@
 
 private:
     bool isRefused(Suspect const&) const;
-    void makeRoom();
+    void evictIfFull();
     void dropEndsUntil(Suspect&, Time);
     std::uint64_t digestOf(Suspect const&) const;
-    bool isSoftwareListed(Suspect const&) const;
+    bool isSoftwareInUse(Suspect const&) const;
     bool hasEnd(Suspect const&, TargetEnd const&) const;
     bool isSameEnd(TargetEnd const&, TargetEnd const&) const;
 
     SuspectBookSettings m_settings;
     std::map<WorkKey, Suspect> m_suspects;
     std::map<std::string, std::set<std::string>> m_releases;
-    std::vector<std::pair<SuspectNews, Time>> m_news; ///< Of this daemon's own evidence, and when it was noted; the newest last.
+    std::vector<std::pair<SuspectNews, Time>> m_news; ///< This daemon's own evidence and when it was added, the newest last.
     std::uint64_t m_digest { 0 };
 };
 
--- a/Tests/LibAdmission/TestController.cpp
+++ b/Tests/LibAdmission/TestController.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-/// One group of targets, the first with room is chosen; tokens are worked off in order.
+/// One group of targets; requests go to the first target with room and finish in order.
 struct Fleet {
     std::unique_ptr<Admission::Controller> controller;
     std::uint32_t targets { 0 };
@@ -34,15 +34,15 @@
         return std::nullopt;
     }
 
-    Admission::Controller::Decision ask(std::string organisation, int priority = 5, std::uint64_t tokens = 100, std::chrono::milliseconds patience = 1h)
+    Admission::Controller::Decision submit(std::string organisation, int priority = 5, std::uint64_t tokens = 100, std::chrono::milliseconds timeout = 1h)
     {
-        Admission::Controller::Decision decision = controller->enter({ nextId++, std::move(organisation), 0, priority, tokens, now + patience }, now);
+        Admission::Controller::Decision decision = controller->enter({ nextId++, std::move(organisation), 0, priority, tokens, now + timeout }, now);
         if (Admission::Grant* grant = std::get_if<Admission::Grant>(&decision))
             running.push_back(grant->id);
         return decision;
     }
 
-    /// Ends the oldest running request and returns what started.
+    /// Ends the oldest running request and returns the requests that started as a result.
     std::vector<Admission::RequestId> endOne(std::chrono::milliseconds after = 100ms)
     {
         now += after;
@@ -62,27 +62,27 @@
 
 }
 
-TEST(Admission, TargetsAndOrganisationsStayWithinTheirLimits)
+TEST(Admission, EnforcesTargetAndOrganisationLimits)
 {
     Fleet fleet(2, 2, { .inFlightPerOrganisation = 3, .queuedPerOrganisation = 2, .queuedPerGroup = 100 });
     for (int i = 0; i < 3; ++i)
-        EXPECT_TRUE(std::holds_alternative<Admission::Grant>(fleet.ask("a")));
-    EXPECT_TRUE(isQueued(fleet.ask("a")));
-    EXPECT_TRUE(std::holds_alternative<Admission::Grant>(fleet.ask("b"))) << "another organisation is not held back by a's limit";
-    EXPECT_TRUE(isQueued(fleet.ask("a")));
-    EXPECT_TRUE(isRefused(fleet.ask("a")));
+        EXPECT_TRUE(std::holds_alternative<Admission::Grant>(fleet.submit("a")));
+    EXPECT_TRUE(isQueued(fleet.submit("a")));
+    EXPECT_TRUE(std::holds_alternative<Admission::Grant>(fleet.submit("b"))) << "the limit of a does not apply to another organisation";
+    EXPECT_TRUE(isQueued(fleet.submit("a")));
+    EXPECT_TRUE(isRefused(fleet.submit("a")));
     EXPECT_EQ(fleet.controller->inFlightAt(0), 2U);
     EXPECT_EQ(fleet.controller->inFlightAt(1), 2U);
     EXPECT_EQ(fleet.endOne().size(), 1U);
 }
 
-TEST(Admission, AFloodLeavesOthersTheirShareAndMakesRoomInAFullQueue)
+TEST(Admission, FloodDoesNotStarveOthersAndIsEvictedFromAFullQueue)
 {
     Fleet fleet(1, 1, { .inFlightPerOrganisation = 100, .queuedPerOrganisation = 100, .queuedPerGroup = 20 });
     for (int i = 0; i < 21; ++i)
-        fleet.ask("flood");
-    EXPECT_TRUE(isRefused(fleet.ask("flood")));
-    EXPECT_TRUE(isQueued(fleet.ask("small")));
+        fleet.submit("flood");
+    EXPECT_TRUE(isRefused(fleet.submit("flood")));
+    EXPECT_TRUE(isQueued(fleet.submit("small")));
     Admission::RequestId small = fleet.nextId - 1;
     ASSERT_EQ(fleet.controller->takeRefusals().size(), 1U);
     std::vector<Admission::RequestId> first = fleet.endOne();
@@ -90,41 +90,41 @@
     EXPECT_TRUE(first.front() == small || second.front() == small);
 }
 
-TEST(Admission, HigherPrioritiesGoFirstAndTheLowestIsServed)
+TEST(Admission, ServesHigherPrioritiesFirstWithoutStarvingTheLowest)
 {
     Fleet fleet(1, 1);
-    fleet.ask("a");
-    fleet.ask("a", 9);
-    fleet.ask("a", 9);
+    fleet.submit("a");
+    fleet.submit("a", 9);
+    fleet.submit("a", 9);
     Admission::RequestId low = fleet.nextId - 1;
     int servedBefore = 0;
     for (bool isServed = false; !isServed && servedBefore < 400; ++servedBefore) {
-        fleet.ask("a", 0);
+        fleet.submit("a", 0);
         isServed = fleet.endOne().front() == low;
     }
     EXPECT_GT(servedBefore, 20);
     EXPECT_LT(servedBefore, 200) << "the lowest priority starves";
 }
 
-TEST(Admission, AWaitBeyondTheDeadlineIsRefusedAtOnceWithAnEstimate)
+TEST(Admission, RefusesImmediatelyWithAnEstimateIfTheWaitExceedsTheDeadline)
 {
     Fleet fleet(1, 1);
     for (int i = 0; i < 20; ++i)
-        fleet.ask("a");
+        fleet.submit("a");
     for (int i = 0; i < 10; ++i)
         fleet.endOne(100ms);
-    Admission::Controller::Decision decision = fleet.ask("a", 5, 100, 300ms);
+    Admission::Controller::Decision decision = fleet.submit("a", 5, 100, 300ms);
     ASSERT_TRUE(isRefused(decision));
     EXPECT_EQ(std::get<Admission::Refusal>(decision).error.verdict, Core::Verdict::NotRun);
     EXPECT_NEAR(static_cast<double>(std::get<Admission::Refusal>(decision).retryAfter.count()), 900, 150);
-    EXPECT_TRUE(isQueued(fleet.ask("a", 5, 100, 3s)));
+    EXPECT_TRUE(isQueued(fleet.submit("a", 5, 100, 3s)));
 }
 
-TEST(Admission, ADeadlineThatPassesInTheQueueIsToldAtOnce)
+TEST(Admission, ExpiresQueuedRequestsAtTheirDeadline)
 {
     Fleet fleet(1, 1);
-    fleet.ask("a");
-    ASSERT_TRUE(isQueued(fleet.ask("b", 5, 100, 50ms)));
+    fleet.submit("a");
+    ASSERT_TRUE(isQueued(fleet.submit("b", 5, 100, 50ms)));
     ASSERT_EQ(fleet.controller->nextExpiry(), fleet.now + 50ms);
     EXPECT_TRUE(fleet.controller->expire(fleet.now + 49ms).empty());
     std::vector<Admission::Refusal> refusals = fleet.controller->expire(fleet.now + 50ms);
@@ -133,7 +133,7 @@
     EXPECT_TRUE(fleet.endOne().empty());
 }
 
-TEST(Admission, ATargetThatIsChosenThoughFullCountsAsNone)
+TEST(Admission, TreatsAFullChosenTargetAsNone)
 {
     std::unique_ptr<Admission::Controller> controller = Admission::Controller::create({}, [](Admission::RequestId, Admission::GroupId) { return std::optional<Admission::TargetId>(0); }).value();
     controller->setTarget(0, 1, { 0 });
@@ -144,26 +144,26 @@
     EXPECT_EQ(controller->release(1, now), (std::vector<Admission::Grant> { { 2, 0 } }));
 }
 
-TEST(Admission, AClosedTargetGetsNothingNewAndItsWorkIsStillCounted)
+TEST(Admission, ClosedTargetGetsNoRequestsButKeepsItsInFlightCount)
 {
     Fleet fleet(1, 2);
-    fleet.ask("a");
+    fleet.submit("a");
     fleet.controller->setTarget(0, 0, { 0 });
-    EXPECT_TRUE(isQueued(fleet.ask("a")));
+    EXPECT_TRUE(isQueued(fleet.submit("a")));
     fleet.controller->removeTarget(0);
-    EXPECT_EQ(fleet.controller->setTarget(0, 1, { 0 }).size(), 0U) << "what ran before still takes the place";
+    EXPECT_EQ(fleet.controller->setTarget(0, 1, { 0 }).size(), 0U) << "the request in flight still occupies the slot";
     EXPECT_EQ(fleet.endOne().size(), 1U);
 }
 
-TEST(Admission, APlaceThatTheFirstMayNotUseGoesToTheNext)
+TEST(Admission, SlotThatTheFirstRequestCannotUseGoesToTheNext)
 {
     Fleet fleet(1, 1);
     fleet.excluded[1] = 0;
-    EXPECT_TRUE(isQueued(fleet.ask("a")));
-    EXPECT_TRUE(std::holds_alternative<Admission::Grant>(fleet.ask("b")));
+    EXPECT_TRUE(isQueued(fleet.submit("a")));
+    EXPECT_TRUE(std::holds_alternative<Admission::Grant>(fleet.submit("b")));
 }
 
-RC_GTEST_PROP(Admission, EveryRequestIsDecidedOnceAndNothingIsLeftBehind, ())
+RC_GTEST_PROP(Admission, DecidesEveryRequestOnceAndLeavesNoState, ())
 {
     Fleet fleet(3, 2, { .inFlightPerOrganisation = 3, .queuedPerOrganisation = 4, .queuedPerGroup = 8 });
     std::map<Admission::RequestId, int> decided;
@@ -189,7 +189,7 @@
         int kind = *rc::gen::inRange(0, 10);
         if (kind < 6) {
             std::string organisation(1, static_cast<char>('a' + *rc::gen::inRange(0, 5)));
-            Admission::Controller::Decision decision = fleet.ask(organisation, *rc::gen::inRange(-1, 11), 100, std::chrono::milliseconds(*rc::gen::inRange(0, 3000)));
+            Admission::Controller::Decision decision = fleet.submit(organisation, *rc::gen::inRange(-1, 11), 100, std::chrono::milliseconds(*rc::gen::inRange(0, 3000)));
             waiting.insert(fleet.nextId - 1);
             if (std::holds_alternative<Admission::Grant>(decision))
                 granted(fleet.nextId - 1);
--- a/Tests/LibDuties/TestFleetClock.cpp
+++ b/Tests/LibDuties/TestFleetClock.cpp
@@ -13,15 +13,15 @@
 
 }
 
-TEST(FleetClock, AloneItGoesByItsOwnWallClock)
+TEST(FleetClock, UsesItsOwnWallClockWithoutPeers)
 {
     FleetClock clock;
     clock.observeOwn(noon, boot);
     EXPECT_EQ(clock.at(boot + 3s), noon + 3s);
 }
 
-// Guards against windows that a VM cuts by its own clock alone, which jumps.
-TEST(FleetClock, AThirdOfTheClocksMovesNothing)
+// Guards against usage windows that follow the jumps of one VM's wall clock.
+TEST(FleetClock, IgnoresAMinorityOfWrongClocks)
 {
     FleetClock clock;
     clock.observeOwn(noon + 2'400ms, boot);
@@ -29,14 +29,14 @@
         clock.observePeer("peer-" + std::to_string(n), noon + (n == 0 ? 2'400ms : std::chrono::milliseconds(n)), boot);
     EXPECT_LE(clock.at(boot) - noon, 5ms);
     EXPECT_GE(clock.at(boot) - noon, 0ms);
-    // They jump back, and others forth.
+    // The own clock returns to the correct time and another one jumps back.
     clock.observeOwn(noon + 1s, boot + 1s);
     clock.observePeer("peer-5", noon + 1s - 30s, boot + 1s);
     EXPECT_LE(clock.at(boot + 1s) - (noon + 1s), 5ms);
     EXPECT_GE(clock.at(boot + 1s) - (noon + 1s), 0ms);
 }
 
-TEST(FleetClock, WhoIsCutOffKeepsTheTimeAndInTheEndForgetsTheOthers)
+TEST(FleetClock, PartitionedDaemonKeepsFleetTimeUntilPeersExpire)
 {
     FleetClock clock;
     clock.observePeer("peer-1", noon, boot);
@@ -48,7 +48,7 @@
     EXPECT_EQ(clock.at(boot + 300s), noon + 300s + 5s);
 }
 
-RC_GTEST_PROP(FleetClock, WithinWhatTheGoodClocksSayWhileTheyAreMost, ())
+RC_GTEST_PROP(FleetClock, StaysWithinTheRangeOfAMajorityOfGoodClocks, ())
 {
     int good = *rc::gen::inRange(2, 60);
     int bad = *rc::gen::inRange(0, good);
--- a/Tests/LibDuties/TestUsageDuty.cpp
+++ b/Tests/LibDuties/TestUsageDuty.cpp
@@ -27,7 +27,7 @@
 
 }
 
-TEST_F(UsageDutyTest, AWindowIsDecidedWhenAllHaveClosedItOrPatienceEnds)
+TEST_F(UsageDutyTest, DecidesAWindowWhenAllHaveClosedItOrAfterTheCloseWait)
 {
     m_duty.begin(m_end - 1s);
     EXPECT_FALSE(next<Duties::DecideReport>(299ms));
@@ -37,8 +37,8 @@
     EXPECT_TRUE(next<Duties::GiveUpReport>(10s, false));
 }
 
-// Guards against a second report of a window that says something else.
-TEST_F(UsageDutyTest, WhatIsDecidedIsSentWordForWord)
+// Guards against a second, different report of a window.
+TEST_F(UsageDutyTest, SendsADecidedReportUnchanged)
 {
     m_duty.begin(m_end - 1s);
     m_duty.noteDecided({ first, { { "a", 5 } } });
@@ -49,9 +49,9 @@
     EXPECT_FALSE(next<Duties::SendReport>(300ms));
 }
 
-// Guards against windows that nobody reports: a daemon that had just started told the others that all before its start was settled, and
-// while the store was away two windows were not.
-TEST_F(UsageDutyTest, WhoHasJustStartedKnowsOfNoWindowThatItIsSettled)
+// Guards against windows that are never reported: a daemon that had just started told its peers that all windows before its start
+// were settled, but during a store outage two were not.
+TEST_F(UsageDutyTest, KnowsOfNoSettledWindowsAfterStarting)
 {
     m_duty.begin(m_end - 1s);
     EXPECT_EQ(m_duty.settledBefore(), 0U);
@@ -59,7 +59,7 @@
     EXPECT_EQ(m_duty.settledBefore(), first + 1);
 }
 
-TEST_F(UsageDutyTest, OthersTellOfOlderWindowsAndOfSettledOnes)
+TEST_F(UsageDutyTest, LearnsUnsettledAndSettledWindowsFromPeers)
 {
     m_duty.begin(m_end - 1s);
     m_duty.noteUnsettled(first - 1);
--- a/Tests/LibDuties/TestUsageTakeOver.cpp
+++ b/Tests/LibDuties/TestUsageTakeOver.cpp
@@ -1,5 +1,5 @@
-// Two daemons that take the duty from one another, a store and a service, in every order of what may happen to them up to a bound:
-// steps, suspensions, calls whose answers are lost and that are carried out late or never.
+// Model check of duty hand-over between two daemons, a store and a service: every sequence of events up to a bounded length, with
+// steps, suspensions, lost replies, and calls that take effect late or never.
 
 #include <LibAuthority/StoreLease.h>
 #include <LibDuties/UsageDuty.h>
@@ -16,9 +16,9 @@
 
 constexpr Duties::WindowNumber window = 200;
 
-/// The platform's store, of a lease topic and a topic of reports.
+/// The platform's store, with a lease topic and a report topic.
 struct Store {
-    std::uint64_t leases { 0 }; ///< The end of the topic.
+    std::uint64_t leases { 0 }; ///< End offset of the lease topic.
     std::optional<Authority::StoreLeaseClaim> newest;
     std::uint64_t reports { 0 };
     std::optional<Duties::UsageReport> decided;
@@ -41,12 +41,12 @@
     }
 };
 
-/// Takes reports, and refuses numbers below one that it has seen. It notes what must never be.
+/// Accepts reports and refuses fencing tokens below the highest seen. Records violations of the invariants.
 struct Service {
     std::optional<std::uint64_t> highest;
     std::optional<Duties::UsageReport> accepted;
     std::map<std::uint64_t, std::string> holders;
-    std::vector<std::string> problems;
+    std::vector<std::string> violations;
 
     bool take(std::string const& holder, std::uint64_t fencing, Duties::UsageReport const& report)
     {
@@ -55,22 +55,22 @@
         highest = fencing;
         std::pair<std::map<std::uint64_t, std::string>::iterator, bool> owner = holders.emplace(fencing, holder);
         if (owner.first->second != holder)
-            problems.push_back("two holders with the number " + std::to_string(fencing));
+            violations.push_back("two holders with fencing token " + std::to_string(fencing));
         if (accepted && *accepted != report)
-            problems.emplace_back("two reports that differ");
+            violations.emplace_back("two different reports");
         accepted = report;
         return true;
     }
 };
 
-/// A call under way that may still be carried out.
-struct Late {
+/// A call in flight that may still take effect.
+struct DelayedCall {
     std::string holder;
     std::uint64_t fencing { 0 };
     Duties::UsageReport report;
 };
 
-/// One daemon's part, as the shell carries it out: claim, read, decide, send. Each has counted something else.
+/// One daemon, with the steps of LibDaemon: claim, read, decide, send. Each daemon has a different count.
 class Daemon {
 public:
     Daemon(std::string name, std::uint64_t count)
@@ -82,17 +82,17 @@
         m_duty.begin(Duties::endOf(window, 5s) - 1ms);
     }
 
-    enum class Fate : std::uint8_t { Answered,
-        AnswerLost, ///< It is carried out.
-        Late, ///< It may be carried out later.
+    enum class CallOutcome : std::uint8_t { Answered,
+        AnswerLost, ///< The call takes effect.
+        Late, ///< The call may take effect later.
     };
 
-    void step(Store& store, Service& service, std::vector<Late>& late, Fate fate, Time now)
+    void step(Store& store, Service& service, std::vector<DelayedCall>& delayed, CallOutcome outcome, Time now)
     {
         if (m_duty.settledBefore() > window)
             return;
         if (!m_lease.mayOrder(now)) {
-            claim(store, fate, now);
+            claim(store, outcome, now);
             return;
         }
         if (!m_hasRead) {
@@ -107,14 +107,14 @@
             Duties::UsageReport report { window, { { "a", m_count } } };
             bool isAppended = store.appendReport(report, m_reportsEnd);
             m_hasRead = false;
-            if (isAppended && fate == Fate::Answered) {
+            if (isAppended && outcome == CallOutcome::Answered) {
                 m_duty.noteDecided(report);
                 m_reportsEnd = store.reports;
                 m_hasRead = true;
             }
             return;
         }
-        send(service, late, *decided, fate, now);
+        send(service, delayed, *decided, outcome, now);
     }
 
 private:
@@ -125,14 +125,14 @@
         return settings;
     }
 
-    void claim(Store& store, Fate fate, Time now)
+    void claim(Store& store, CallOutcome outcome, Time now)
     {
         m_lease.observe(store.newest, store.leases, now);
         std::optional<Authority::StoreLeaseAppend> append = m_lease.poll(true, now);
         if (!append)
             return;
         std::optional<std::uint64_t> offset = store.appendClaim({ m_name, 1 }, append->expectedNext);
-        if (fate != Fate::Answered)
+        if (outcome != CallOutcome::Answered)
             m_lease.claimUnknown();
         else if (offset)
             m_lease.claimAppended(*offset);
@@ -141,16 +141,16 @@
         m_hasRead = false;
     }
 
-    void send(Service& service, std::vector<Late>& late, Duties::UsageReport const& report, Fate fate, Time now)
+    void send(Service& service, std::vector<DelayedCall>& delayed, Duties::UsageReport const& report, CallOutcome outcome, Time now)
     {
         std::uint64_t fencing = *m_lease.fencing();
         m_lease.noteOrder(now);
-        if (fate == Fate::Late) {
-            late.push_back({ m_name, fencing, report });
+        if (outcome == CallOutcome::Late) {
+            delayed.push_back({ m_name, fencing, report });
             return;
         }
         bool isAccepted = service.take(m_name, fencing, report);
-        if (fate == Fate::AnswerLost)
+        if (outcome == CallOutcome::AnswerLost)
             return;
         if (isAccepted)
             m_duty.noteSettled(window);
@@ -174,39 +174,39 @@
     LateA,
     LateB,
     CarryOutLate,
-    Wait, ///< Longer than a lease: as if both had been suspended.
+    Wait, ///< Longer than a lease, as if both daemons had been suspended.
 };
 constexpr int moves = 8;
 
-/// One play from its moves.
-class Play {
+/// One run of the model.
+class ModelRun {
 public:
     void move(Move move)
     {
         m_now += 10ms;
         switch (move) {
         case Move::StepA:
-            m_a.step(m_store, m_service, m_late, Daemon::Fate::Answered, m_now);
+            m_a.step(m_store, m_service, m_delayed, Daemon::CallOutcome::Answered, m_now);
             break;
         case Move::StepB:
-            m_b.step(m_store, m_service, m_late, Daemon::Fate::Answered, m_now);
+            m_b.step(m_store, m_service, m_delayed, Daemon::CallOutcome::Answered, m_now);
             break;
         case Move::LoseA:
-            m_a.step(m_store, m_service, m_late, Daemon::Fate::AnswerLost, m_now);
+            m_a.step(m_store, m_service, m_delayed, Daemon::CallOutcome::AnswerLost, m_now);
             break;
         case Move::LoseB:
-            m_b.step(m_store, m_service, m_late, Daemon::Fate::AnswerLost, m_now);
+            m_b.step(m_store, m_service, m_delayed, Daemon::CallOutcome::AnswerLost, m_now);
             break;
         case Move::LateA:
-            m_a.step(m_store, m_service, m_late, Daemon::Fate::Late, m_now);
+            m_a.step(m_store, m_service, m_delayed, Daemon::CallOutcome::Late, m_now);
             break;
         case Move::LateB:
-            m_b.step(m_store, m_service, m_late, Daemon::Fate::Late, m_now);
+            m_b.step(m_store, m_service, m_delayed, Daemon::CallOutcome::Late, m_now);
             break;
         case Move::CarryOutLate:
-            if (!m_late.empty()) {
-                m_service.take(m_late.front().holder, m_late.front().fencing, m_late.front().report);
-                m_late.erase(m_late.begin());
+            if (!m_delayed.empty()) {
+                m_service.take(m_delayed.front().holder, m_delayed.front().fencing, m_delayed.front().report);
+                m_delayed.erase(m_delayed.begin());
             }
             break;
         case Move::Wait:
@@ -221,59 +221,59 @@
     Time m_now { 1'000s };
     Store m_store;
     Service m_service;
-    std::vector<Late> m_late;
+    std::vector<DelayedCall> m_delayed;
     Daemon m_a { "a", 5 };
     Daemon m_b { "b", 7 };
 };
 
-std::string textOf(std::vector<int> const& played)
+std::string textOf(std::vector<int> const& playedMoves)
 {
     std::string text;
-    for (int it : played)
+    for (int it : playedMoves)
         text += std::to_string(it) + " ";
     return text;
 }
 
 }
 
-// Guards against two reports of a window that differ, a number of two holders, and reports that come after a higher number.
-TEST(UsageTakeOver, EveryOrderOfSevenMoves)
+// Guards against two different reports of a window, a fencing token with two holders, and reports accepted after a higher token.
+TEST(UsageTakeOver, EverySequenceOfSevenMoves)
 {
     constexpr int length = 7;
     std::vector<int> digits(length, 0);
-    std::size_t plays = 0;
+    std::size_t sequences = 0;
     std::size_t accepted = 0;
     bool hasMore = true;
     while (hasMore) {
-        Play play;
+        ModelRun run;
         for (int digit : digits)
-            play.move(static_cast<Move>(digit));
-        ASSERT_TRUE(play.service().problems.empty()) << play.service().problems.front() << " after " << textOf(digits);
-        ++plays;
-        accepted += play.service().accepted ? 1 : 0;
+            run.move(static_cast<Move>(digit));
+        ASSERT_TRUE(run.service().violations.empty()) << run.service().violations.front() << " after " << textOf(digits);
+        ++sequences;
+        accepted += run.service().accepted ? 1 : 0;
         int place = 0;
         while (place < length && ++digits[static_cast<std::size_t>(place)] == moves)
             digits[static_cast<std::size_t>(place++)] = 0;
         hasMore = place < length;
     }
-    EXPECT_EQ(plays, 2'097'152U);
+    EXPECT_EQ(sequences, 2'097'152U);
     EXPECT_GT(accepted, 10'000U);
 }
 
-// Longer ones, drawn: with take-overs, late calls and their repeats in one play.
-TEST(UsageTakeOver, LongerPlaysAtRandom)
+// Longer random sequences, which combine take-overs, late calls and retries in one run.
+TEST(UsageTakeOver, LongRandomSequences)
 {
     std::mt19937_64 random(20261203);
     std::size_t accepted = 0;
     for (int n = 0; n < 100'000; ++n) {
-        Play play;
-        std::vector<int> played;
+        ModelRun run;
+        std::vector<int> playedMoves;
         for (int step = 0; step < 24; ++step) {
-            played.push_back(static_cast<int>(random() % moves));
-            play.move(static_cast<Move>(played.back()));
+            playedMoves.push_back(static_cast<int>(random() % moves));
+            run.move(static_cast<Move>(playedMoves.back()));
         }
-        ASSERT_TRUE(play.service().problems.empty()) << play.service().problems.front() << " after " << textOf(played);
-        accepted += play.service().accepted ? 1 : 0;
+        ASSERT_TRUE(run.service().violations.empty()) << run.service().violations.front() << " after " << textOf(playedMoves);
+        accepted += run.service().accepted ? 1 : 0;
     }
     EXPECT_GT(accepted, 50'000U);
 }
--- a/Tests/LibQuarantine/TestInnocents.cpp
+++ b/Tests/LibQuarantine/TestInnocents.cpp
@@ -1,5 +1,5 @@
-// How often requests are refused that are not to blame, and how many targets those end that are, over random days: engines
-// that crash by themselves, requests that end whatever runs them, callers and daemons that try again.
+// Simulates how often innocent requests are refused and how many targets culprits end, over random traffic with engines that
+// crash on their own, requests that end every target that runs them, and retries by callers and daemons.
 
 #include <LibQuarantine/Guard.h>
 #include <gtest/gtest.h>
@@ -13,40 +13,40 @@
 
 constexpr Time origin { 1'000s };
 
-struct DaySettings {
+struct SimulationSettings {
     std::size_t engines { 9 };
     double requestsPerSecond { 45 };
-    double meanSeconds { 0.6 };
-    std::chrono::milliseconds backAfter { 4'000 };
-    double crashesPerSecond { 0 }; ///< Of engines, by themselves.
-    std::size_t culprits { 0 }; ///< Requests that end what runs them,
-    double culpritsPerSecond { 0 }; ///< and how often each of them comes.
-    int tries { 4 }; ///< Of a request that broke, by daemons and callers together; the next follows at once.
+    double meanDurationSeconds { 0.6 };
+    std::chrono::milliseconds restartDelay { 4'000 };
+    double crashesPerSecond { 0 }; ///< Engine crashes unrelated to requests.
+    std::size_t culprits { 0 }; ///< Requests that end every target that runs them.
+    double culpritsPerSecond { 0 }; ///< Arrival rate of each culprit.
+    int attempts { 4 }; ///< Attempts per request, by daemons and callers together, without delay.
     std::chrono::seconds length { 120 };
     std::uint64_t seed { 1 };
 };
 
-struct DayResult {
+struct SimulationResult {
     std::size_t requests { 0 };
     std::size_t innocentsRefused { 0 };
-    std::size_t culpritEnds { 0 }; ///< Of engines, by all culprits together.
-    std::size_t mostEnds { 0 }; ///< By one culprit.
+    std::size_t culpritEnds { 0 }; ///< Engine ends caused by all culprits.
+    std::size_t maximumEnds { 0 }; ///< Most engine ends caused by one culprit.
 };
 
-class Day {
+class Simulation {
 public:
-    explicit Day(DaySettings const& settings)
+    explicit Simulation(SimulationSettings const& settings)
         : m_settings(settings)
         , m_random(settings.seed)
         , m_engines(settings.engines)
     {
     }
 
-    DayResult play()
+    SimulationResult run()
     {
         Time end = origin + m_settings.length;
         for (std::size_t n = 0; n < m_settings.culprits; ++n)
-            comeAgain(n, origin + 5s);
+            scheduleCulprit(n, origin + 5s);
         scheduleNext(m_settings.requestsPerSecond, origin, [this](Time now) { arrive(now); });
         scheduleNext(m_settings.crashesPerSecond, origin, [this](Time now) { crash(pick(m_engines.size()), now); });
         while (!m_events.empty() && m_events.top().at < end) {
@@ -55,7 +55,7 @@
             event.run(event.at);
         }
         for (std::pair<std::uint64_t const, std::size_t> const& it : m_ends)
-            m_result.mostEnds = std::max(m_result.mostEnds, it.second);
+            m_result.maximumEnds = std::max(m_result.maximumEnds, it.second);
         return m_result;
     }
 
@@ -70,7 +70,7 @@
     struct Work {
         WorkKey key;
         bool isCulprit { false };
-        int tries { 0 };
+        int attempts { 0 };
     };
 
     struct Engine {
@@ -95,11 +95,11 @@
         });
     }
 
-    void comeAgain(std::size_t culprit, Time now)
+    void scheduleCulprit(std::size_t culprit, Time now)
     {
         at(now + draw(1 / m_settings.culpritsPerSecond), [this, culprit](Time when) {
             send({ { culprit + 1, 0 }, true, 0 }, when);
-            comeAgain(culprit, when);
+            scheduleCulprit(culprit, when);
         });
     }
 
@@ -111,11 +111,11 @@
 
     void send(Work work, Time now)
     {
-        Guard::Standing standing = m_guard.standing(work.key);
-        bool isRefused = standing == Guard::Standing::Refused;
+        Guard::Disposition disposition = m_guard.disposition(work.key);
+        bool isRefused = disposition == Guard::Disposition::Refused;
         if (isRefused && !work.isCulprit)
             ++m_result.innocentsRefused;
-        if (isRefused || (standing == Guard::Standing::Alone && m_guard.isOpen(work.key)))
+        if (isRefused || (disposition == Guard::Disposition::Exclusive && m_guard.isOpen(work.key)))
             return;
         std::optional<std::size_t> engine = choose(work.key, now);
         if (!engine)
@@ -123,23 +123,23 @@
         SuspectTarget target { *engine * perIncarnation + m_engines[*engine].incarnation, "llm", "v1" };
         RunTable::Id run = m_guard.begin(work.key, target, now);
         m_engines[*engine].runs[run] = work;
-        Time::duration length = work.isCulprit ? std::chrono::duration_cast<Time::duration>(50ms) : draw(m_settings.meanSeconds);
+        Time::duration length = work.isCulprit ? std::chrono::duration_cast<Time::duration>(50ms) : draw(m_settings.meanDurationSeconds);
         at(now + length, [this, engine = *engine, run](Time when) { end(engine, run, when); });
     }
 
     std::optional<std::size_t> choose(WorkKey const& key, Time now)
     {
-        std::set<std::uint64_t> taken = m_guard.targetsOfOtherSuspects(key);
+        std::set<std::uint64_t> suspectTargets = m_guard.targetsOfOtherSuspects(key);
         std::vector<std::size_t> open;
-        std::vector<std::size_t> apart;
+        std::vector<std::size_t> withoutSuspects;
         for (std::size_t n = 0; n < m_engines.size(); ++n) {
             if (m_engines[n].downUntil && now < *m_engines[n].downUntil)
                 continue;
             open.push_back(n);
-            if (!taken.contains(n * perIncarnation + m_engines[n].incarnation))
-                apart.push_back(n);
+            if (!suspectTargets.contains(n * perIncarnation + m_engines[n].incarnation))
+                withoutSuspects.push_back(n);
         }
-        std::vector<std::size_t> const& from = apart.empty() ? open : apart;
+        std::vector<std::size_t> const& from = withoutSuspects.empty() ? open : withoutSuspects;
         return from.empty() ? std::nullopt : std::optional(from[pick(from.size())]);
     }
 
@@ -155,7 +155,7 @@
             return;
         }
         m_engines[engine].runs.erase(it);
-        m_guard.survive(run, now);
+        m_guard.finishSuccessfully(run, now);
     }
 
     void crash(std::size_t n, Time now)
@@ -165,37 +165,37 @@
             return;
         std::map<RunTable::Id, Work> broken = std::exchange(engine.runs, {});
         for (std::pair<RunTable::Id const, Work> const& it : broken)
-            m_guard.breakOff(it.first, now);
+            m_guard.noteConnectionLost(it.first, now);
         m_guard.noteEnded(n * perIncarnation + engine.incarnation, now);
         ++engine.incarnation;
-        engine.downUntil = now + m_settings.backAfter;
+        engine.downUntil = now + m_settings.restartDelay;
         for (std::pair<RunTable::Id const, Work>& it : broken) {
-            if (it.second.isCulprit || ++it.second.tries >= m_settings.tries)
+            if (it.second.isCulprit || ++it.second.attempts >= m_settings.attempts)
                 continue;
             at(now + 10ms, [this, work = it.second](Time when) { send(work, when); });
         }
     }
 
-    DaySettings m_settings;
+    SimulationSettings m_settings;
     std::mt19937_64 m_random;
     std::vector<Engine> m_engines;
     Guard m_guard;
     std::priority_queue<Event> m_events;
     std::uint64_t m_order { 0 };
     std::map<std::uint64_t, std::size_t> m_ends;
-    DayResult m_result;
+    SimulationResult m_result;
 };
 
-DayResult playDays(DaySettings settings, std::uint64_t days)
+SimulationResult simulate(SimulationSettings settings, std::uint64_t runs)
 {
-    DayResult sum;
-    for (std::uint64_t seed = 1; seed <= days; ++seed) {
+    SimulationResult sum;
+    for (std::uint64_t seed = 1; seed <= runs; ++seed) {
         settings.seed = seed;
-        DayResult day = Day(settings).play();
-        sum.requests += day.requests;
-        sum.innocentsRefused += day.innocentsRefused;
-        sum.culpritEnds += day.culpritEnds;
-        sum.mostEnds = std::max(sum.mostEnds, day.mostEnds);
+        SimulationResult result = Simulation(settings).run();
+        sum.requests += result.requests;
+        sum.innocentsRefused += result.innocentsRefused;
+        sum.culpritEnds += result.culpritEnds;
+        sum.maximumEnds = std::max(sum.maximumEnds, result.maximumEnds);
     }
     testing::Test::RecordProperty("requests", std::to_string(sum.requests));
     testing::Test::RecordProperty("innocents_refused", std::to_string(sum.innocentsRefused));
@@ -205,31 +205,31 @@
 
 }
 
-TEST(Innocents, NobodyIsRefusedWhereEnginesNowAndThenCrashByThemselves)
+TEST(Innocents, NoneIsRefusedOverOccasionalEngineCrashes)
 {
-    DaySettings settings;
+    SimulationSettings settings;
     settings.crashesPerSecond = 0.2;
-    EXPECT_EQ(playDays(settings, 40).innocentsRefused, 0U);
+    EXPECT_EQ(simulate(settings, 40).innocentsRefused, 0U);
 }
 
-TEST(Innocents, NobodyIsRefusedBesideARequestThatComesTenTimesASecond)
+TEST(Innocents, NoneIsRefusedBesideACulpritSentTenTimesASecond)
 {
-    DaySettings settings;
+    SimulationSettings settings;
     settings.culprits = 1;
     settings.culpritsPerSecond = 10;
-    DayResult days = playDays(settings, 40);
-    EXPECT_EQ(days.mostEnds, 3U);
-    EXPECT_EQ(days.innocentsRefused, 0U);
+    SimulationResult total = simulate(settings, 40);
+    EXPECT_EQ(total.maximumEnds, 3U);
+    EXPECT_EQ(total.innocentsRefused, 0U);
 }
 
-// Five of them take all engines along within a second, again and again: there some of those that are tried four times are refused.
-TEST(Innocents, FiveRequestsThatEndEnginesAtOnceEndFewEach)
+// Five culprits repeatedly end all engines within a second, so some innocent requests that are tried four times are refused.
+TEST(Innocents, FiveConcurrentCulpritsEndFewEnginesEach)
 {
-    DaySettings settings;
+    SimulationSettings settings;
     settings.culprits = 5;
     settings.culpritsPerSecond = 10;
     settings.crashesPerSecond = 0.2;
-    DayResult days = playDays(settings, 40);
-    // Three, and what was under way.
-    EXPECT_LE(days.mostEnds, 6U);
+    SimulationResult total = simulate(settings, 40);
+    // Three, plus the runs in progress at the third end.
+    EXPECT_LE(total.maximumEnds, 6U);
 }
--- a/Tests/LibQuarantine/TestReach.cpp
+++ b/Tests/LibQuarantine/TestReach.cpp
@@ -1,5 +1,5 @@
-// How soon all daemons refuse a request that has ended three targets: the product's own guards, books and questions in virtual
-// time, with the store away, beacons lost, and daemons cut off meanwhile.
+// Simulates in virtual time how soon all daemons refuse a request that has ended three targets, with the production guards,
+// daemon books and queries, under a store outage, lost beacons and partitioned daemons.
 
 #include <LibFleet/DaemonBook.h>
 #include <LibQuarantine/CatchUp.h>
@@ -47,16 +47,16 @@
         }
     }
 
-    // Nothing passes between a daemon and the others.
-    void cut(std::size_t daemon, Time from, Time to) { m_daemons[daemon].cuts.emplace_back(from, to); }
+    // Partitions a daemon from all others.
+    void partition(std::size_t daemon, Time from, Time to) { m_daemons[daemon].partitions.emplace_back(from, to); }
 
-    // Has a target end with the culprit, as one daemon sees it.
+    // Ends a target while it runs the culprit, observed by one daemon.
     void endTarget(std::uint64_t target, std::size_t daemon, Time when)
     {
         at(when, [this, target, daemon](Time now) {
             Daemon& it = m_daemons[daemon];
             RunTable::Id run = it.guard->begin(culprit, { target, "llm", "v1" }, now - 50ms);
-            it.guard->breakOff(run, now);
+            it.guard->noteConnectionLost(run, now);
             it.guard->noteEnded(target, now);
             Time soon = std::max(now, it.sentAt + it.book.promptInterval());
             at(soon, [this, daemon](Time then) { send(daemon, then); });
@@ -72,16 +72,16 @@
         }
     }
 
-    std::size_t countOpen() const
+    std::size_t countNotRefusing() const
     {
-        return static_cast<std::size_t>(std::count_if(m_daemons.begin(), m_daemons.end(), [](Daemon const& it) { return it.guard->standing(culprit) != Guard::Standing::Refused; }));
+        return static_cast<std::size_t>(std::count_if(m_daemons.begin(), m_daemons.end(), [](Daemon const& it) { return it.guard->disposition(culprit) != Guard::Disposition::Refused; }));
     }
 
-    // Has all daemons start anew. The first two read what the store kept, the time after `when` in which they do drawn at random.
+    // Restarts all daemons. The first two read the stored suspects, each at a random time within `readWithin` after `when`.
     void restartAll(Time when, std::chrono::milliseconds readWithin)
     {
         at(when, [this](Time) {
-            m_kept = m_daemons.front().guard->suspects();
+            m_stored = m_daemons.front().guard->suspects();
             for (Daemon& it : m_daemons) {
                 it.guard = std::make_unique<Guard>();
                 it.catchUp.emplace(m_random());
@@ -89,7 +89,7 @@
         });
         for (std::size_t n = 0; n < 2; ++n)
             at(when + std::chrono::milliseconds(1 + pick(static_cast<std::size_t>(readWithin.count()))), [this, n](Time now) {
-                m_daemons[n].guard->take(newsOf(m_kept));
+                m_daemons[n].guard->merge(newsOf(m_stored));
                 m_daemons[n].catchUp->noteLoaded();
                 send(n, now);
             });
@@ -100,13 +100,13 @@
         return static_cast<std::size_t>(std::count_if(m_daemons.begin(), m_daemons.end(), [](Daemon const& it) { return it.catchUp->isCaughtUp(); }));
     }
 
-    // Those that would let the culprit run although they hold themselves for ready.
-    std::size_t countCaughtUpAndOpen() const
+    // Daemons that would run the culprit although they consider themselves caught up.
+    std::size_t countCaughtUpButNotRefusing() const
     {
-        return static_cast<std::size_t>(std::count_if(m_daemons.begin(), m_daemons.end(), [](Daemon const& it) { return it.catchUp->isCaughtUp() && it.guard->standing(culprit) != Guard::Standing::Refused; }));
+        return static_cast<std::size_t>(std::count_if(m_daemons.begin(), m_daemons.end(), [](Daemon const& it) { return it.catchUp->isCaughtUp() && it.guard->disposition(culprit) != Guard::Disposition::Refused; }));
     }
 
-    std::size_t questions() const { return m_questions; }
+    std::size_t queries() const { return m_queries; }
 
 private:
     struct Daemon {
@@ -121,7 +121,7 @@
         Fleet::DaemonBook book;
         std::uint64_t sequence { 0 };
         Time sentAt;
-        std::vector<std::pair<Time, Time>> cuts;
+        std::vector<std::pair<Time, Time>> partitions;
     };
 
     struct Event {
@@ -144,9 +144,9 @@
     std::size_t pick(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(m_random); }
     void at(Time time, std::function<void(Time)> run) { m_events.push({ time, ++m_order, std::move(run) }); }
 
-    bool isCut(std::size_t daemon, Time now) const
+    bool isPartitioned(std::size_t daemon, Time now) const
     {
-        return std::any_of(m_daemons[daemon].cuts.begin(), m_daemons[daemon].cuts.end(), [now](std::pair<Time, Time> const& it) { return it.first <= now && now < it.second; });
+        return std::any_of(m_daemons[daemon].partitions.begin(), m_daemons[daemon].partitions.end(), [now](std::pair<Time, Time> const& it) { return it.first <= now && now < it.second; });
     }
 
     static std::vector<SuspectNews> newsOf(std::vector<Suspect> const& suspects)
@@ -170,41 +170,41 @@
         Daemon& sender = m_daemons[n];
         sender.sentAt = now;
         std::uint64_t sequence = ++sender.sequence;
-        std::vector<SuspectNews> news = sender.guard->news(now, tellTime(sender.book.beaconInterval()));
+        std::vector<SuspectNews> news = sender.guard->news(now, newsLifetime(sender.book.beaconInterval()));
         std::optional<std::uint64_t> digest;
         if (sender.catchUp->isCaughtUp())
             digest = sender.guard->digest();
         for (std::size_t other = 0; other < m_daemons.size(); ++other) {
-            bool isLost = other == n || isCut(n, now) || isCut(other, now) || std::bernoulli_distribution(m_settings.beaconLoss)(m_random);
+            bool isLost = other == n || isPartitioned(n, now) || isPartitioned(other, now) || std::bernoulli_distribution(m_settings.beaconLoss)(m_random);
             if (isLost)
                 continue;
             Daemon& receiver = m_daemons[other];
             receiver.book.hear(listed(n), sequence, {}, now);
-            receiver.catchUp->hear(nameOf(n), digest, receiver.guard->digest(), now);
+            receiver.catchUp->notePeerDigest(nameOf(n), digest, receiver.guard->digest(), now);
             if (!news.empty())
-                receiver.guard->take(news);
+                receiver.guard->merge(news);
         }
     }
 
     void tick(std::size_t n, Time now)
     {
         Daemon& it = m_daemons[n];
-        std::optional<std::string> peer = it.catchUp->whomToAsk(it.guard->digest(), it.book.beaconInterval(), it.book.silentTime(), now);
+        std::optional<std::string> peer = it.catchUp->peerToQuery(it.guard->digest(), it.book.beaconInterval(), it.book.silentTime(), now);
         if (peer) {
-            ++m_questions;
-            std::size_t asked = std::stoul(peer->substr(peer->find('-') + 1));
-            bool isAnswered = !isCut(n, now) && !isCut(asked, now);
-            at(now + (isAnswered ? 5ms : 400ms), [this, n, asked, isAnswered](Time when) { answer(n, asked, isAnswered, when); });
+            ++m_queries;
+            std::size_t queried = std::stoul(peer->substr(peer->find('-') + 1));
+            bool hasReplied = !isPartitioned(n, now) && !isPartitioned(queried, now);
+            at(now + (hasReplied ? 5ms : 400ms), [this, n, queried, hasReplied](Time when) { receiveReply(n, queried, hasReplied, when); });
         }
         at(now + 100ms, [this, n](Time when) { tick(n, when); });
     }
 
-    void answer(std::size_t n, std::size_t asked, bool isAnswered, Time now)
+    void receiveReply(std::size_t n, std::size_t queried, bool hasReplied, Time now)
     {
         std::uint64_t before = m_daemons[n].guard->digest();
-        if (isAnswered)
-            m_daemons[n].guard->take(newsOf(m_daemons[asked].guard->suspects()));
-        m_daemons[n].catchUp->noteAnswer(isAnswered, m_daemons[n].guard->digest() != before, now);
+        if (hasReplied)
+            m_daemons[n].guard->merge(newsOf(m_daemons[queried].guard->suspects()));
+        m_daemons[n].catchUp->noteReply(hasReplied, m_daemons[n].guard->digest() != before, now);
     }
 
     SiteSettings m_settings;
@@ -212,22 +212,22 @@
     std::deque<Daemon> m_daemons;
     std::priority_queue<Event> m_events;
     std::uint64_t m_order { 0 };
-    std::size_t m_questions { 0 };
-    std::vector<Suspect> m_kept; ///< By the store.
+    std::size_t m_queries { 0 };
+    std::vector<Suspect> m_stored; ///< Suspects in the store.
 };
 
-struct Reach {
+struct PropagationCase {
     std::size_t daemons;
     std::chrono::milliseconds within;
     std::uint64_t seeds;
 };
 
-class RefusedInTime : public testing::TestWithParam<Reach> { };
+class RefusedInTime : public testing::TestWithParam<PropagationCase> { };
 
 }
 
-// Guards against daemons that take a request for harmless after others have seen it end three targets.
-TEST_P(RefusedInTime, EverywhereAfterTheThirdEnd)
+// Guards against daemons that still run a request after others have seen it end three targets.
+TEST_P(RefusedInTime, ByAllDaemonsAfterTheThirdEnd)
 {
     for (std::uint64_t seed = 1; seed <= GetParam().seeds; ++seed) {
         Site site({ GetParam().daemons, 0.025, seed });
@@ -238,31 +238,31 @@
             site.endTarget(target, random() % GetParam().daemons, last);
         }
         site.run(last + GetParam().within);
-        EXPECT_EQ(site.countOpen(), 0U) << "seed " << seed;
+        EXPECT_EQ(site.countNotRefusing(), 0U) << "seed " << seed;
     }
 }
 
-// Guards against a daemon that was cut off while the others were told, and that nobody tells again.
-TEST_P(RefusedInTime, AtDaemonsThatWereCutOffMeanwhile)
+// Guards against a daemon that was partitioned while the evidence was sent and never receives it.
+TEST_P(RefusedInTime, ByDaemonsThatWerePartitioned)
 {
     for (std::uint64_t seed = 1; seed <= GetParam().seeds; ++seed) {
         Site site({ GetParam().daemons, 0.025, seed });
         std::mt19937_64 random(seed);
         Time healed = origin + 30s;
-        std::size_t struck = random() % GetParam().daemons;
-        std::size_t other = (struck + 1) % GetParam().daemons;
-        site.cut(struck, origin + 9s, healed);
-        // What the daemon that is cut off has seen itself is news to the others afterwards.
-        site.endTarget(1, struck, origin + 11s);
+        std::size_t partitioned = random() % GetParam().daemons;
+        std::size_t other = (partitioned + 1) % GetParam().daemons;
+        site.partition(partitioned, origin + 9s, healed);
+        // The others learn what the partitioned daemon saw only after the partition.
+        site.endTarget(1, partitioned, origin + 11s);
         site.endTarget(2, other, origin + 12s);
         site.endTarget(3, other, origin + 13s);
         site.run(healed + GetParam().within);
-        EXPECT_EQ(site.countOpen(), 0U) << "seed " << seed;
+        EXPECT_EQ(site.countNotRefusing(), 0U) << "seed " << seed;
     }
 }
 
-// Guards against a daemon of a site that starts anew, which takes requests before it knows which are refused.
-TEST_P(RefusedInTime, ByEachDaemonThatHoldsItselfForReadyAfterAllHaveStartedAnew)
+// Guards against a daemon of a restarted site that accepts requests before it knows which are refused.
+TEST_P(RefusedInTime, ByEachCaughtUpDaemonAfterAFullRestart)
 {
     constexpr std::chrono::milliseconds step { 10 };
     for (std::uint64_t seed = 1; seed <= GetParam().seeds; ++seed) {
@@ -274,21 +274,21 @@
         std::size_t premature = 0;
         for (Time now = restart; now < restart + GetParam().within; now += step) {
             site.run(now);
-            premature += site.countCaughtUpAndOpen();
+            premature += site.countCaughtUpButNotRefusing();
         }
         EXPECT_EQ(premature, 0U) << "seed " << seed;
         EXPECT_EQ(site.countCaughtUp(), GetParam().daemons) << "seed " << seed;
     }
 }
 
-TEST_P(RefusedInTime, WithoutQuestionsWhereNothingIsMissed)
+TEST_P(RefusedInTime, WithoutQueriesIfNoBeaconIsLost)
 {
     Site site({ GetParam().daemons, 0, 1 });
     for (std::uint64_t target = 1; target <= 3; ++target)
         site.endTarget(target, target, origin + 10s + target * 300ms);
     site.run(origin + 20s);
-    EXPECT_EQ(site.countOpen(), 0U);
-    EXPECT_LE(site.questions(), GetParam().daemons) << "the first question of a daemon that knows of none is asked at once";
+    EXPECT_EQ(site.countNotRefusing(), 0U);
+    EXPECT_LE(site.queries(), GetParam().daemons) << "a daemon without suspects sends its first query immediately";
 }
 
-INSTANTIATE_TEST_SUITE_P(Sizes, RefusedInTime, testing::Values(Reach { 7, 3'000ms, 60 }, Reach { 90, 4'000ms, 3 }, Reach { 295, 5'000ms, 1 }));
+INSTANTIATE_TEST_SUITE_P(Sizes, RefusedInTime, testing::Values(PropagationCase { 7, 3'000ms, 60 }, PropagationCase { 90, 4'000ms, 3 }, PropagationCase { 295, 5'000ms, 1 }));
--- a/Tests/LibQuarantine/TestRunTable.cpp
+++ b/Tests/LibQuarantine/TestRunTable.cpp
@@ -16,7 +16,7 @@
 
 }
 
-TEST(RunTable, AnEndTakesAlongWhatBrokeThere)
+TEST(RunTable, EndReturnsTheBrokenRuns)
 {
     RunTable runs;
     RunTable::Id first = runs.begin({ 1, 1 }, suspectTarget(), origin);
@@ -24,54 +24,54 @@
     RunTable::Id late = runs.begin({ 3, 3 }, suspectTarget(), origin);
     RunTable::Id finished = runs.begin({ 4, 4 }, suspectTarget(), origin);
     runs.finish(finished);
-    EXPECT_EQ(runs.breakOff(first, origin + 1s), RunTable::AfterBreak::FindOut);
-    EXPECT_EQ(runs.breakOff(second, origin + 1s), RunTable::AfterBreak::Nothing) << "somebody finds out already";
+    EXPECT_EQ(runs.noteConnectionLost(first, origin + 1s), RunTable::BreakAction::Probe);
+    EXPECT_EQ(runs.noteConnectionLost(second, origin + 1s), RunTable::BreakAction::None) << "a probe is already pending";
     std::vector<std::pair<WorkKey, TargetEnd>> ends = runs.noteEnded(target, origin + 1'010ms);
     ASSERT_EQ(ends.size(), 2U);
     EXPECT_EQ(ends[0].second.at, origin + 1s);
-    EXPECT_EQ(runs.breakOff(late, origin + 1'020ms), RunTable::AfterBreak::IsEnd);
+    EXPECT_EQ(runs.noteConnectionLost(late, origin + 1'020ms), RunTable::BreakAction::TargetEnded);
     EXPECT_EQ(runs.noteEnded(target, origin + 1'020ms).size(), 1U);
-    EXPECT_EQ(runs.breakOff(late, origin + 2s), RunTable::AfterBreak::Nothing) << "it is over";
+    EXPECT_EQ(runs.noteConnectionLost(late, origin + 2s), RunTable::BreakAction::None) << "the run has ended";
 }
 
-// Guards against evidence from connections that are reset, cut or lost while their target lives.
-TEST(RunTable, WhatBrokeOnTheWayIsNoEvidence)
+// Guards against evidence from connections that are reset or lost while the target is alive.
+TEST(RunTable, BrokenConnectionToALiveTargetIsNoEvidence)
 {
     RunTable runs;
     RunTable::Id broken = runs.begin({ 1, 1 }, suspectTarget(), origin);
-    EXPECT_EQ(runs.breakOff(broken, origin + 1s), RunTable::AfterBreak::FindOut);
+    EXPECT_EQ(runs.noteConnectionLost(broken, origin + 1s), RunTable::BreakAction::Probe);
     runs.noteAlive(target, origin + 1s);
     EXPECT_TRUE(runs.noteEnded(target, origin + 2s).empty());
 }
 
-TEST(RunTable, WhatCouldNotBeFoundOutIsEvidenceOnceTheListTells)
+TEST(RunTable, InconclusiveProbeIsEvidenceOnceTheTargetIsListedAsEnded)
 {
     RunTable runs;
     RunTable::Id broken = runs.begin({ 1, 1 }, suspectTarget(), origin);
-    EXPECT_EQ(runs.breakOff(broken, origin + 1s), RunTable::AfterBreak::FindOut);
+    EXPECT_EQ(runs.noteConnectionLost(broken, origin + 1s), RunTable::BreakAction::Probe);
     runs.noteUnknown(target);
     runs.expire(origin + 5s);
     std::vector<std::pair<WorkKey, TargetEnd>> ends = runs.noteEnded(target, origin + 5s);
     ASSERT_EQ(ends.size(), 1U);
-    EXPECT_EQ(ends[0].second.at, origin + 1s) << "it counts for when it happened";
+    EXPECT_EQ(ends[0].second.at, origin + 1s) << "the end has the time of the broken connection";
 
     RunTable::Id old = runs.begin({ 2, 2 }, { 8, "llm", "v1" }, origin);
-    EXPECT_EQ(runs.breakOff(old, origin + 1s), RunTable::AfterBreak::FindOut);
+    EXPECT_EQ(runs.noteConnectionLost(old, origin + 1s), RunTable::BreakAction::Probe);
     runs.expire(origin + 20s);
-    EXPECT_TRUE(runs.noteEnded(8, origin + 20s).empty()) << "a target that goes much later went for another reason";
+    EXPECT_TRUE(runs.noteEnded(8, origin + 20s).empty()) << "an end much later has another cause";
 }
 
-// Guards against a break at a target that has started again under its id, which is taken for the end before.
-TEST(RunTable, ARunThatBeganAfterAnEndAsksAnew)
+// Guards against a broken connection to a target restarted under the same id being attributed to the previous end.
+TEST(RunTable, RunThatBeganAfterAnEndNeedsANewProbe)
 {
     RunTable runs;
     EXPECT_TRUE(runs.noteEnded(target, origin).empty());
     RunTable::Id run = runs.begin({ 1, 1 }, suspectTarget(), origin + 1s);
-    EXPECT_EQ(runs.breakOff(run, origin + 2s), RunTable::AfterBreak::FindOut);
+    EXPECT_EQ(runs.noteConnectionLost(run, origin + 2s), RunTable::BreakAction::Probe);
     EXPECT_EQ(runs.noteEnded(target, origin + 2s).size(), 1U);
 }
 
-TEST(RunTable, TellsWhereOtherWorkIsOpen)
+TEST(RunTable, ReturnsTargetsWithOtherOpenRuns)
 {
     RunTable runs;
     runs.begin({ 1, 1 }, suspectTarget(), origin);
--- a/Tests/LibQuarantine/TestSuspectBook.cpp
+++ b/Tests/LibQuarantine/TestSuspectBook.cpp
@@ -19,7 +19,7 @@
     return { { target, "llm", std::move(release) }, at - 1s, at };
 }
 
-// Has a request end targets 1 to `count`, a second apart.
+// Ends targets 1 to `count` with a request, one second apart.
 void endTargets(SuspectBook& book, WorkKey const& key, std::uint64_t count)
 {
     for (std::uint64_t n = 1; n <= count; ++n)
@@ -28,7 +28,7 @@
 
 }
 
-TEST(SuspectBook, ThreeEndsRefuseARequestAndNoOther)
+TEST(SuspectBook, RefusesOnlyTheRequestWithThreeEnds)
 {
     SuspectBook book;
     endTargets(book, keyOf(1), 2);
@@ -41,11 +41,11 @@
     EXPECT_FALSE(book.isRefused(keyOf(2)));
     std::optional<Finding> fourth = book.noteEnd(keyOf(1), endOf(4, origin + 4s));
     ASSERT_TRUE(fourth);
-    EXPECT_FALSE(fourth->isRefused) << "it was before";
+    EXPECT_FALSE(fourth->isRefused) << "the request was refused before";
 }
 
-// Guards against an end that counts twice since two daemons saw it, or one hears of it again.
-TEST(SuspectBook, OneEndCountsOnceWhoeverTellsOfIt)
+// Guards against counting an end twice because two daemons saw it or it was reported again.
+TEST(SuspectBook, CountsAnEndOnceForAllReports)
 {
     SuspectBook book;
     for (std::chrono::milliseconds lag : { 0ms, 30ms, 150ms })
@@ -53,8 +53,8 @@
     EXPECT_EQ(book.ends(keyOf(1)), 1U);
 }
 
-// Guards against a target that starts again under its id and ends again, unknown to the list, as one end.
-TEST(SuspectBook, ATargetThatEndsAgainUnderItsIdCountsAgain)
+// Guards against counting two ends as one when a target restarts under the same id unnoticed by the target list.
+TEST(SuspectBook, CountsASecondEndUnderTheSameId)
 {
     SuspectBook book;
     for (int n = 0; n < 3; ++n) {
@@ -64,35 +64,35 @@
     EXPECT_TRUE(book.isRefused(keyOf(1)));
 }
 
-TEST(SuspectBook, ARunThatEndsWellClearsWhatCameBeforeIt)
+TEST(SuspectBook, CompletedRunClearsEarlierEnds)
 {
     SuspectBook book;
     endTargets(book, keyOf(1), 3);
     EXPECT_TRUE(book.noteSurvived(keyOf(1), origin + 2s));
     EXPECT_EQ(book.ends(keyOf(1)), 1U) << "the third end came later";
-    EXPECT_FALSE(book.noteEnd(keyOf(1), endOf(9, origin + 1s))) << "evidence that comes late counts for when it happened";
+    EXPECT_FALSE(book.noteEnd(keyOf(1), endOf(9, origin + 1s))) << "late evidence is dated by when it happened";
     EXPECT_TRUE(book.noteSurvived(keyOf(1), origin + 5s));
     EXPECT_EQ(book.ends(keyOf(1)), 0U);
     EXPECT_EQ(book.digest(), 0U);
-    EXPECT_FALSE(book.noteSurvived(keyOf(2), origin)) << "nothing was known of it";
+    EXPECT_FALSE(book.noteSurvived(keyOf(2), origin)) << "the request was unknown";
 }
 
-// Guards against a caller that is refused for ever after its request's bug was mended, and one that is let through while it was not.
-TEST(SuspectBook, AReleaseOfTheTargetsSoftwareAllowsOneMoreRun)
+// Guards against refusing a request forever after the bug was fixed, and against running it before.
+TEST(SuspectBook, NewReleaseAllowsOneMoreRun)
 {
     SuspectBook book;
     endTargets(book, keyOf(1), 3);
     book.setReleases({ { "llm", { "v1", "v2" } } });
-    EXPECT_TRUE(book.isRefused(keyOf(1))) << "some targets run what it ended";
+    EXPECT_TRUE(book.isRefused(keyOf(1))) << "some targets still run a release that it ended";
     book.setReleases({ { "llm", {} } });
-    EXPECT_TRUE(book.isRefused(keyOf(1))) << "no target tells nothing";
+    EXPECT_TRUE(book.isRefused(keyOf(1))) << "a service without targets is no evidence of a fix";
     book.setReleases({ { "llm", { "v2" } } });
     EXPECT_FALSE(book.isRefused(keyOf(1)));
     book.noteEnd(keyOf(1), endOf(8, origin + 60s, "v2"));
     EXPECT_TRUE(book.isRefused(keyOf(1)));
 }
 
-TEST(SuspectBook, TwoThatWereTogetherEachTimeAreBothRefused)
+TEST(SuspectBook, RefusesBothRequestsThatAlwaysRanTogether)
 {
     SuspectBook book;
     endTargets(book, keyOf(1), 3);
@@ -101,33 +101,33 @@
     EXPECT_TRUE(book.isRefused(keyOf(2)));
 }
 
-TEST(SuspectBook, TellsOfItsOwnEvidenceForAWhile)
+TEST(SuspectBook, ReturnsItsOwnEvidenceForALimitedTime)
 {
     SuspectBook book;
-    book.tell({ keyOf(1), SuspectTarget { 7, "llm", "v1" }, origin, origin }, origin);
+    book.addNews({ keyOf(1), SuspectTarget { 7, "llm", "v1" }, origin, origin }, origin);
     EXPECT_EQ(book.news(origin + 900ms, 1s).size(), 1U);
     EXPECT_TRUE(book.news(origin + 1s, 1s).empty());
-    EXPECT_EQ(tellTime(100ms), 1s);
-    EXPECT_EQ(tellTime(1'500ms), 6s);
+    EXPECT_EQ(newsLifetime(100ms), 1s);
+    EXPECT_EQ(newsLifetime(1'500ms), 6s);
 }
 
-// Guards against a caller who sends endless different requests beside crashing targets, to have evidence forgotten.
-TEST(SuspectBook, KeepsThoseThatEndedTheMostWhenItIsFull)
+// Guards against a caller that floods crashing targets with different requests to evict evidence.
+TEST(SuspectBook, KeepsSuspectsWithTheMostEndsWhenFull)
 {
     SuspectBookSettings settings;
-    settings.mostSuspects = 100;
+    settings.maximumSuspects = 100;
     SuspectBook book(settings);
     endTargets(book, keyOf(1), 3);
     endTargets(book, keyOf(2), 2);
     for (std::uint64_t n = 10; n < 1'000; ++n)
         book.noteEnd(keyOf(n), endOf(50, origin + std::chrono::seconds(n)));
-    EXPECT_EQ(book.size(), settings.mostSuspects);
+    EXPECT_EQ(book.size(), settings.maximumSuspects);
     EXPECT_TRUE(book.isRefused(keyOf(1)));
     EXPECT_EQ(book.ends(keyOf(2)), 2U);
     EXPECT_EQ(book.ends(keyOf(10)), 0U);
 }
 
-RC_GTEST_PROP(SuspectBook, DaemonsThatWereToldTheSameAgreeInWhateverOrder, ())
+RC_GTEST_PROP(SuspectBook, DigestIsIndependentOfTheOrderOfEvidence, ())
 {
     std::vector<std::pair<std::uint64_t, std::uint64_t>> evidence = *rc::gen::container<std::vector<std::pair<std::uint64_t, std::uint64_t>>>(rc::gen::pair(rc::gen::inRange<std::uint64_t>(0, 4), rc::gen::inRange<std::uint64_t>(0, 6)));
     std::vector<std::size_t> order(evidence.size());
