--- a/Libraries/LibAdmission/RateEstimate.cpp
+++ b/Libraries/LibAdmission/RateEstimate.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double timeConstantSeconds = 10;
-constexpr double minimumObservedSeconds = 0.1;
-constexpr double maximumWaitMs = 3'600'000;
+constexpr double minObservedSeconds = 0.1;
+constexpr double maxWaitMs = 3'600'000;
 
 }
 
@@ -26,7 +26,7 @@
 
 std::optional<double> RateEstimate::tokensPerSecond() const
 {
-    if (m_observedSeconds < minimumObservedSeconds)
+    if (m_observedSeconds < minObservedSeconds)
         return std::nullopt;
     return m_tokens / m_observedSeconds;
 }
@@ -36,8 +36,8 @@
     std::optional<double> rate = tokensPerSecond();
     if (!rate)
         return std::chrono::milliseconds(0);
-    double ms = *rate > 0 ? tokens / *rate * 1000 : maximumWaitMs;
-    return std::chrono::milliseconds(static_cast<std::int64_t>(std::min(ms, maximumWaitMs)));
+    double ms = *rate > 0 ? tokens / *rate * 1000 : maxWaitMs;
+    return std::chrono::milliseconds(static_cast<std::int64_t>(std::min(ms, maxWaitMs)));
 }
 
 }
--- a/Libraries/LibQuarantine/CatchUp.cpp
+++ b/Libraries/LibQuarantine/CatchUp.cpp
@@ -47,7 +47,7 @@
     m_isQueryPending = false;
     m_isCaughtUp = m_isCaughtUp || hasReplied;
     // Back off after no reply or one without changes: the peer may itself be behind.
-    m_interval = hasChanged ? m_settings.minimumInterval : std::min(m_interval * 2, m_settings.maximumInterval);
+    m_interval = hasChanged ? m_settings.minInterval : std::min(m_interval * 2, m_settings.maxInterval);
     m_nextQueryAt = now + m_interval;
 }
 
--- a/Libraries/LibQuarantine/CatchUp.h
+++ b/Libraries/LibQuarantine/CatchUp.h
@@ -14,8 +14,8 @@
     std::chrono::milliseconds gracePeriod { 300 };
     /// At beacon intervals up to this there are few daemons, so those that start together may all query at once.
     std::chrono::milliseconds unspreadGracePeriod { 100 };
-    std::chrono::milliseconds minimumInterval { 300 }; ///< Between two queries; doubled while replies change nothing.
-    std::chrono::milliseconds maximumInterval { 10'000 };
+    std::chrono::milliseconds minInterval { 300 }; ///< Between two queries; doubled while replies change nothing.
+    std::chrono::milliseconds maxInterval { 10'000 };
 };
 
 /// Anti-entropy for suspected requests: selects a peer to fetch the full state from when its digest has differed for a while.
@@ -27,7 +27,7 @@
     /// `seed` must differ between daemons, so that those that start together don't all query one peer at the same time.
     explicit CatchUp(std::uint64_t seed, CatchUpSettings const& settings = {})
         : m_settings(settings)
-        , m_interval(settings.minimumInterval)
+        , m_interval(settings.minInterval)
         , m_random(seed)
     {
     }
--- a/Libraries/LibQuarantine/SuspectBook.cpp
+++ b/Libraries/LibQuarantine/SuspectBook.cpp
@@ -20,9 +20,9 @@
 
 std::chrono::milliseconds newsLifetime(std::chrono::milliseconds beaconInterval)
 {
-    constexpr std::chrono::milliseconds minimumLifetime { 1'000 };
+    constexpr std::chrono::milliseconds minLifetime { 1'000 };
     constexpr int repeatedBeacons = 4;
-    return std::max(minimumLifetime, repeatedBeacons * beaconInterval);
+    return std::max(minLifetime, repeatedBeacons * beaconInterval);
 }
 
 std::optional<Finding> SuspectBook::noteEnd(WorkKey const& key, TargetEnd const& end)
@@ -35,7 +35,7 @@
     Suspect& suspect = it->second;
     bool isKnown = hasEnd(suspect, end);
     bool isSurvived = suspect.survivedAt != Time() && end.at <= suspect.survivedAt;
-    if (isKnown || isSurvived || suspect.ends.size() >= m_settings.maximumEnds)
+    if (isKnown || isSurvived || suspect.ends.size() >= m_settings.maxEnds)
         return std::nullopt;
     bool wasRefused = isRefused(suspect);
     m_digest -= digestOf(suspect);
@@ -46,7 +46,7 @@
 
 bool SuspectBook::isSameEnd(TargetEnd const& a, TargetEnd const& b) const
 {
-    bool areSeparate = a.begunAt > b.at + m_settings.minimumEndSeparation || b.begunAt > a.at + m_settings.minimumEndSeparation;
+    bool areSeparate = a.begunAt > b.at + m_settings.minEndSeparation || b.begunAt > a.at + m_settings.minEndSeparation;
     return a.target.incarnation == b.target.incarnation && !areSeparate;
 }
 
@@ -81,7 +81,7 @@
 // Evicts the suspect with the fewest ends; among equals, the one whose last end is the oldest.
 void SuspectBook::evictIfFull()
 {
-    if (m_suspects.size() < m_settings.maximumSuspects)
+    if (m_suspects.size() < m_settings.maxSuspects)
         return;
     std::map<WorkKey, Suspect>::iterator least = std::min_element(m_suspects.begin(), m_suspects.end(), [](std::pair<WorkKey const, Suspect> const& a, std::pair<WorkKey const, Suspect> const& b) {
         return std::make_pair(a.second.ends.size(), lastEndOf(a.second)) < std::make_pair(b.second.ends.size(), lastEndOf(b.second));
@@ -99,7 +99,7 @@
 {
     std::erase_if(m_news, [&](std::pair<SuspectNews, Time> const& it) { return now - it.second >= lifetime; });
     std::vector<SuspectNews> news;
-    for (std::size_t n = m_news.size(); n > 0 && news.size() < m_settings.maximumNewsPerBeacon; --n)
+    for (std::size_t n = m_news.size(); n > 0 && news.size() < m_settings.maxNewsPerBeacon; --n)
         news.push_back(m_news[n - 1].first);
     return news;
 }
--- a/Libraries/LibQuarantine/SuspectBook.h
+++ b/Libraries/LibQuarantine/SuspectBook.h
@@ -12,12 +12,12 @@
     /// Number of ends after which a request is refused. One end implicates every request on the target, and two happen to
     /// innocent requests that are retried on the same target as the culprit.
     std::size_t endsToRefuse { 3 };
-    std::size_t maximumSuspects { 4'096 }; ///< About 200 bytes each. Also limits what a starting peer is sent.
-    std::size_t maximumEnds { 16 }; ///< Kept per request; further ones are ignored.
+    std::size_t maxSuspects { 4'096 }; ///< About 200 bytes each. Also limits what a starting peer is sent.
+    std::size_t maxEnds { 16 }; ///< Kept per request; further ones are ignored.
     /// A target may restart under the same id unnoticed and end again: two runs saw different ends if one began more than this
     /// long after the connection of the other broke. Exceeds the time difference between daemons.
-    std::chrono::milliseconds minimumEndSeparation { 200 };
-    std::size_t maximumNewsPerBeacon { 64 }; ///< An engine runs no more requests than this at once.
+    std::chrono::milliseconds minEndSeparation { 200 };
+    std::size_t maxNewsPerBeacon { 64 }; ///< An engine runs no more requests than this at once.
 };
 
 /// Returns how long evidence is repeated in beacons of this interval, so that lost beacons do no harm. Thread-safe.
--- a/Tests/LibQuarantine/TestInnocents.cpp
+++ b/Tests/LibQuarantine/TestInnocents.cpp
@@ -30,7 +30,7 @@
     std::size_t requests { 0 };
     std::size_t innocentsRefused { 0 };
     std::size_t culpritEnds { 0 }; ///< Engine ends caused by all culprits.
-    std::size_t maximumEnds { 0 }; ///< Most engine ends caused by one culprit.
+    std::size_t maxEnds { 0 }; ///< Most engine ends caused by one culprit.
 };
 
 class Simulation {
@@ -55,7 +55,7 @@
             event.run(event.at);
         }
         for (std::pair<std::uint64_t const, std::size_t> const& it : m_ends)
-            m_result.maximumEnds = std::max(m_result.maximumEnds, it.second);
+            m_result.maxEnds = std::max(m_result.maxEnds, it.second);
         return m_result;
     }
 
@@ -195,7 +195,7 @@
         sum.requests += result.requests;
         sum.innocentsRefused += result.innocentsRefused;
         sum.culpritEnds += result.culpritEnds;
-        sum.maximumEnds = std::max(sum.maximumEnds, result.maximumEnds);
+        sum.maxEnds = std::max(sum.maxEnds, result.maxEnds);
     }
     testing::Test::RecordProperty("requests", std::to_string(sum.requests));
     testing::Test::RecordProperty("innocents_refused", std::to_string(sum.innocentsRefused));
@@ -218,7 +218,7 @@
     settings.culprits = 1;
     settings.culpritsPerSecond = 10;
     SimulationResult total = simulate(settings, 40);
-    EXPECT_EQ(total.maximumEnds, 3U);
+    EXPECT_EQ(total.maxEnds, 3U);
     EXPECT_EQ(total.innocentsRefused, 0U);
 }
 
@@ -231,5 +231,5 @@
     settings.crashesPerSecond = 0.2;
     SimulationResult total = simulate(settings, 40);
     // Three, plus the runs in progress at the third end.
-    EXPECT_LE(total.maximumEnds, 6U);
+    EXPECT_LE(total.maxEnds, 6U);
 }
--- a/Tests/LibQuarantine/TestSuspectBook.cpp
+++ b/Tests/LibQuarantine/TestSuspectBook.cpp
@@ -115,13 +115,13 @@
 TEST(SuspectBook, KeepsSuspectsWithTheMostEndsWhenFull)
 {
     SuspectBookSettings settings;
-    settings.maximumSuspects = 100;
+    settings.maxSuspects = 100;
     SuspectBook book(settings);
     endTargets(book, keyOf(1), 3);
     endTargets(book, keyOf(2), 2);
     for (std::uint64_t n = 10; n < 1'000; ++n)
         book.noteEnd(keyOf(n), endOf(50, origin + std::chrono::seconds(n)));
-    EXPECT_EQ(book.size(), settings.maximumSuspects);
+    EXPECT_EQ(book.size(), settings.maxSuspects);
     EXPECT_TRUE(book.isRefused(keyOf(1)));
     EXPECT_EQ(book.ends(keyOf(2)), 2U);
     EXPECT_EQ(book.ends(keyOf(10)), 0U);
