--- a/Tests/LibQuarantine/TestReach.cpp
+++ b/Tests/LibQuarantine/TestReach.cpp
@@ -189,7 +189,7 @@
     void tick(std::size_t n, Time now)
     {
         Daemon& it = m_daemons[n];
-        std::optional<std::string> peer = it.catchUp->peerToQuery(it.guard->digest(), it.book.beaconInterval(), it.book.silentTime(), now);
+        std::optional<std::string> peer = it.catchUp->peerToQuery(it.guard->digest(), it.book.beaconInterval(), it.book.livenessTimeout(), now);
         if (peer) {
             ++m_queries;
             std::size_t queried = std::stoul(peer->substr(peer->find('-') + 1));
