--- a/Libraries/LibDaemon/ControlFleet.cpp
+++ b/Libraries/LibDaemon/ControlFleet.cpp
@@ -108,7 +108,7 @@
     if (vm.name == m_settings.daemon.name)
         return !m_membership->protocol().self().isLeaving;
     Membership::Member const* member = m_membership->find(vm.name);
-    return !member || member->takesWork() || member->record.status == Membership::Status::Unheard;
+    return !member || member->acceptsWork() || member->record.status == Membership::Status::Unheard;
 }
 
 void ControlPlane::addEntries(FleetSnapshot& fleet) const
--- a/Libraries/LibDaemon/MembershipAgent.cpp
+++ b/Libraries/LibDaemon/MembershipAgent.cpp
@@ -115,7 +115,7 @@
     std::vector<Membership::ListedVm> list;
     for (Platform::Vm const& vm : entries)
         list.push_back({ { vm.name, Http::toString(vm.address), Http::toString(vm.callerAddress), vm.availabilityZone, vm.region }, vm.state == Platform::VmState::Leaving });
-    m_protocol.handleList(list, Clock::now());
+    m_protocol.handleVmList(list, Clock::now());
     advance();
 }
 
--- a/Libraries/LibMembership/ByteBudget.h
+++ b/Libraries/LibMembership/ByteBudget.h
@@ -19,15 +19,15 @@
     {
     }
 
-    /// Returns whether anything may be sent at `now`. What is sent may go into debt once.
-    bool isOpen(TimePoint now)
+    /// Refills the bucket and returns whether it holds tokens. The next message may overdraw it.
+    bool canSend(TimePoint now)
     {
         double const seconds = std::chrono::duration<double>(now - m_updated).count();
         m_available = std::min(m_burst, m_available + seconds * m_bytesPerSecond);
         m_updated = now;
         return m_available > 0;
     }
-    /// Counts bytes that were sent.
+    /// Deducts bytes that were sent.
     void spend(std::size_t n) { m_available -= static_cast<double>(n); }
 
 private:
--- a/Libraries/LibMembership/Cells.cpp
+++ b/Libraries/LibMembership/Cells.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// The weight of `place` for `item` in rendezvous hashing: the item goes where its weight is greatest.
-std::uint64_t weightOf(std::string_view item, std::string_view place)
+/// Returns the weight of `place` for `item` in rendezvous hashing. An item is assigned to the place with the greatest weight.
+std::uint64_t rendezvousWeight(std::string_view item, std::string_view place)
 {
     return XXH3_64bits_withSeed(item.data(), item.size(), XXH3_64bits(place.data(), place.size()));
 }
@@ -17,20 +17,20 @@
     return zone + '/' + std::to_string(index);
 }
 
-std::vector<Placed> sortedByName(std::vector<Placed> placed)
+std::vector<LocatedNode> sortedByName(std::vector<LocatedNode> nodes)
 {
-    std::ranges::sort(placed, {}, &Placed::name);
-    return placed;
+    std::ranges::sort(nodes, {}, &LocatedNode::name);
+    return nodes;
 }
 
-/// The cells of one availability zone, by their index among all.
+/// The region of an availability zone and the indices of its cells.
 struct ZoneCells {
     std::string region;
     std::vector<std::size_t> cells;
 };
 
-/// Returns the zone, of those with daemons, whose cells take the target.
-std::string zoneFor(Placed const& target, std::map<std::string, ZoneCells> const& zones)
+/// Returns the zone with daemons that the target is assigned to.
+std::string zoneFor(LocatedNode const& target, std::map<std::string, ZoneCells> const& zones)
 {
     if (zones.contains(target.availabilityZone))
         return target.availabilityZone;
@@ -39,7 +39,7 @@
     for (std::pair<std::string const, ZoneCells> const& zone : zones) {
         if (hasRegion && zone.second.region != target.region)
             continue;
-        if (best.empty() || weightOf(target.name, zone.first) > weightOf(target.name, best))
+        if (best.empty() || rendezvousWeight(target.name, zone.first) > rendezvousWeight(target.name, best))
             best = zone.first;
     }
     return best;
@@ -47,17 +47,17 @@
 
 }
 
-Core::Result<Cells> Cells::create(std::vector<Placed> const& daemons, std::vector<Placed> const& targets, std::size_t daemonsPerCell)
+Core::Result<Cells> Cells::create(std::vector<LocatedNode> const& daemons, std::vector<LocatedNode> const& targets, std::size_t daemonsPerCell)
 {
     if (daemonsPerCell == 0)
         return Core::fail(Core::ErrorCode::BadInput, "The number of daemons in a cell is zero.");
-    std::map<std::string, std::vector<Placed>> daemonsOfZone;
-    for (Placed const& daemon : sortedByName(daemons))
+    std::map<std::string, std::vector<LocatedNode>> daemonsOfZone;
+    for (LocatedNode const& daemon : sortedByName(daemons))
         daemonsOfZone[daemon.availabilityZone].push_back(daemon);
 
     Cells result;
     std::map<std::string, ZoneCells> zones;
-    for (std::pair<std::string const, std::vector<Placed>> const& zone : daemonsOfZone) {
+    for (std::pair<std::string const, std::vector<LocatedNode>> const& zone : daemonsOfZone) {
         std::size_t const count = std::max<std::size_t>(1, (zone.second.size() + daemonsPerCell / 2) / daemonsPerCell);
         std::size_t const capacity = (zone.second.size() + count - 1) / count;
         ZoneCells& own = zones[zone.first];
@@ -66,12 +66,12 @@
             own.cells.push_back(result.m_cells.size());
             result.m_cells.push_back({ zone.first, {}, {} });
         }
-        // Rendezvous hashing with bounded loads: the cells stay of one size, and one daemon more or less moves few.
-        for (Placed const& daemon : zone.second) {
+        // Rendezvous hashing with bounded loads keeps the cells equal in size and moves few daemons when one is added or removed.
+        for (LocatedNode const& daemon : zone.second) {
             std::size_t best = count;
             for (std::size_t i = 0; i < count; ++i) {
                 bool const isFull = result.m_cells[own.cells[i]].daemons.size() >= capacity;
-                if (!isFull && (best == count || weightOf(daemon.name, cellName(zone.first, i)) > weightOf(daemon.name, cellName(zone.first, best))))
+                if (!isFull && (best == count || rendezvousWeight(daemon.name, cellName(zone.first, i)) > rendezvousWeight(daemon.name, cellName(zone.first, best))))
                     best = i;
             }
             result.m_cells[own.cells[best]].daemons.push_back(daemon.name);
@@ -80,12 +80,12 @@
     }
     if (zones.empty())
         return result;
-    for (Placed const& target : sortedByName(targets)) {
+    for (LocatedNode const& target : sortedByName(targets)) {
         std::string const zone = zoneFor(target, zones);
         std::vector<std::size_t> const& cells = zones[zone].cells;
         std::size_t best = 0;
         for (std::size_t i = 1; i < cells.size(); ++i) {
-            if (weightOf(target.name, cellName(zone, i)) > weightOf(target.name, cellName(zone, best)))
+            if (rendezvousWeight(target.name, cellName(zone, i)) > rendezvousWeight(target.name, cellName(zone, best)))
                 best = i;
         }
         result.m_cells[cells[best]].targets.push_back(target.name);
@@ -113,7 +113,7 @@
     if (!cell)
         return best;
     for (std::string const& daemon : cell->daemons) {
-        if (isPresent(daemon) && (best.empty() || weightOf(target, daemon) > weightOf(target, best)))
+        if (isPresent(daemon) && (best.empty() || rendezvousWeight(target, daemon) > rendezvousWeight(target, best)))
             best = daemon;
     }
     return best;
--- a/Libraries/LibMembership/LoadTable.cpp
+++ b/Libraries/LibMembership/LoadTable.cpp
@@ -5,8 +5,8 @@
 
 namespace {
 
-/// A zone's sum by another member than the preferred one is taken when the present one is older than this.
-constexpr std::chrono::seconds staleSum { 5 };
+/// A zone total from a member other than the preferred one replaces the stored total when that is older than this.
+constexpr std::chrono::seconds zoneLoadMaxAge { 5 };
 
 std::chrono::milliseconds ageOf(LoadTable::TimePoint reported, LoadTable::TimePoint now)
 {
@@ -56,7 +56,7 @@
     if (it != m_zones.end()) {
         Entry<ZoneLoad> const& present = it->second;
         bool const isNewer = load.source == present.value.source ? load.sequence > present.value.sequence
-                                                                 : load.source == preferred || now - present.reported > staleSum;
+                                                                 : load.source == preferred || now - present.reported > zoneLoadMaxAge;
         if (!isNewer)
             return;
     }
@@ -79,7 +79,7 @@
     entry.reported = now;
 }
 
-void LoadTable::forget(TimePoint limit)
+void LoadTable::forgetBefore(TimePoint limit)
 {
     std::erase_if(m_members, [limit](std::pair<std::uint64_t const, Entry<MemberLoad>> const& it) { return it.second.reported < limit; });
     std::erase_if(m_zones, [limit](std::pair<std::uint32_t const, Entry<ZoneLoad>> const& it) { return it.second.reported < limit; });
@@ -96,8 +96,8 @@
         [](Entry<Value> const* first, Entry<Value> const* second) { return first->lastPick < second->lastPick; });
     std::vector<Value> picked;
     for (std::size_t i = 0; i < count; ++i) {
-        // Without some disorder the turns of the loads and of the contacts would fall into step, and a load
-        // would always go to the same contact.
+        // Without randomness, the rotation over loads could synchronize with the rotation over neighbours, and a load
+        // would always be sent to the same neighbour.
         order[i]->lastPick = ++m_picks + m_random() % order.size();
         picked.push_back(order[i]->value);
         picked.back().age = ageOf(order[i]->reported, now);
@@ -109,7 +109,7 @@
 {
     auto const own = m_members.find(m_ownId);
     if (own != m_members.end())
-        own->second.lastPick = 0; // The own load goes first.
+        own->second.lastPick = 0; // Sorts the own load first.
     return pick(m_members, n, now);
 }
 
--- a/Libraries/LibMembership/LoadTable.h
+++ b/Libraries/LibMembership/LoadTable.h
@@ -10,8 +10,8 @@
 
 namespace Membership {
 
-/// The loads that this daemon has heard: of each member of its availability zone, and the sum of each zone.
-/// Pure; not thread-safe.
+/// The last known load of each member of the own availability zone, and the total of each zone.
+/// Performs no I/O and reads no clock. Not thread-safe.
 class LoadTable {
 public:
     using TimePoint = std::chrono::steady_clock::time_point;
@@ -20,25 +20,25 @@
 
     /// Sets this daemon's own load.
     void setOwn(Load const&, TimePoint now);
-    /// Merges a load of a member of the own zone: the later sequence wins.
+    /// Merges the load of a member of the own zone. The higher sequence number wins.
     void apply(MemberLoad const&, TimePoint now);
-    /// Merges a zone's sum. `preferred` is who should add up there in this daemon's view; another's sum is taken
-    /// only where the present one is old.
+    /// Merges the total of a zone. `preferred` is the member that this daemon expects to compute it. A total from
+    /// another member is accepted only when the stored one is stale.
     void apply(ZoneLoad const&, std::uint64_t preferred, TimePoint now);
-    /// Adds up the own zone over the members that `isPresent` accepts and sets its sum.
+    /// Computes and stores the total of the own zone over the members that `isPresent` accepts.
     void sumOwnZone(std::function<bool(std::uint64_t)> const& isPresent, TimePoint now);
-    /// Drops what was reported before `limit`.
-    void forget(TimePoint limit);
+    /// Removes loads that were reported before `limit`.
+    void forgetBefore(TimePoint limit);
 
-    /// Returns up to `n` member loads to send, the own one first, then those sent least lately. (The
-    /// latest news first would keep what is far away from arriving at all.)
+    /// Returns up to `n` member loads to send: the own one first, then the least recently sent. (Sending the
+    /// newest reports first would starve those of distant members.)
     std::vector<MemberLoad> pickMembers(std::size_t n, TimePoint now);
-    /// Returns up to `n` zone sums to send, those sent least lately first.
+    /// Returns up to `n` zone totals to send, the least recently sent first.
     std::vector<ZoneLoad> pickZones(std::size_t n, TimePoint now);
 
-    /// Returns the load of a member of the own zone with its age, or nothing.
+    /// Returns the load of a member of the own zone with its current age, or nothing when it is unknown.
     std::optional<MemberLoad> memberLoad(std::uint64_t id, TimePoint now) const;
-    /// Returns the sum of a zone with its age, or nothing.
+    /// Returns the total of a zone with its current age, or nothing when it is unknown.
     std::optional<ZoneLoad> zoneLoad(std::uint32_t zone, TimePoint now) const;
 
 private:
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -24,8 +24,9 @@
 {
 }
 
-// The dead are left out: daemons forget them at different times, and would otherwise revive them for ever.
-void MemberTable::toggle(Record const& record)
+// Dead members are excluded: daemons remove them at different times, and digests that include them would make
+// daemons exchange their records forever.
+void MemberTable::toggleInDigest(Record const& record)
 {
     if (record.status == Status::Alive || record.status == Status::Suspect)
         m_buckets.at(bucketOf(record.id)) ^= digestOf(record);
@@ -39,22 +40,22 @@
         m_changes.push_back({ record.id, member.profile.name, record.incarnation, from, record.status, record.isLeaving });
     m_suspects -= from == Status::Suspect ? 1 : 0;
     m_suspects += record.status == Status::Suspect ? 1 : 0;
-    toggle(member.record);
-    toggle(record);
+    toggleInDigest(member.record);
+    toggleInDigest(record);
     member.record = record;
     member.record.profile.reset();
     member.changed = now;
     ++m_generation;
 }
 
-Applied MemberTable::apply(Record const& record, TimePoint now)
+MergeResult MemberTable::apply(Record const& record, TimePoint now)
 {
     if (record.id == m_ownId)
-        return Applied::Nothing;
+        return MergeResult::Nothing;
     auto it = m_members.find(record.id);
     if (it == m_members.end()) {
         if (m_members.size() >= m_maxMembers)
-            return Applied::Nothing;
+            return MergeResult::Nothing;
         it = m_members.try_emplace(record.id).first;
         it->second.record.id = record.id;
         it->second.record.status = Status::Unheard;
@@ -65,15 +66,15 @@
         ++m_generation;
     }
     if (!supersedes(record, member.record))
-        return Applied::Nothing;
+        return MergeResult::Nothing;
     if (record.status == Status::Dead && member.record.status == Status::Alive)
-        return Applied::Doubted;
+        return MergeResult::Doubted;
     Record merged = record;
-    // A suspicion of an earlier version was perhaps refuted; the later one gets its whole time.
+    // The suspicion of the earlier version may have been refuted, so the later version gets a full suspicion timeout.
     if (record.status == Status::Dead && member.record.status == Status::Suspect && !isSameVersion(record, member.record))
         merged.status = Status::Suspect;
     change(member, merged, now);
-    return Applied::Changed;
+    return MergeResult::Changed;
 }
 
 void MemberTable::setStatus(std::uint64_t id, Status status, TimePoint now)
@@ -86,7 +87,7 @@
     change(it->second, record, now);
 }
 
-void MemberTable::applyList(std::vector<ListedVm> const& list, TimePoint now)
+void MemberTable::applyVmList(std::vector<ListedVm> const& list, TimePoint now)
 {
     std::unordered_set<std::uint64_t> listed;
     for (ListedVm const& vm : list) {
@@ -121,7 +122,7 @@
     }
 }
 
-void MemberTable::forget(TimePoint limit)
+void MemberTable::forgetBefore(TimePoint limit)
 {
     std::size_t const n = std::erase_if(m_members, [limit](std::pair<std::uint64_t const, Member> const& entry) {
         Member const& member = entry.second;
--- a/Libraries/LibMembership/Message.cpp
+++ b/Libraries/LibMembership/Message.cpp
@@ -68,7 +68,7 @@
         return corrupt("has an unknown status.");
     Record record { wire.id(), wire.incarnation(), wire.version(), static_cast<Status>(wire.status()), wire.is_leaving(), {} };
     if (record.incarnation == 0 || record.status == Status::Unheard)
-        return corrupt("tells of a daemon that was never heard.");
+        return corrupt("has a record without an incarnation or with status unheard.");
     if (!wire.has_profile())
         return record;
     Wire::Profile const& profile = wire.profile();
@@ -126,7 +126,7 @@
     if (bytes.size() > maxMessageBytes || !wire.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return corrupt("cannot be parsed.");
     if (wire.kind() > static_cast<std::uint32_t>(Kind::Sync) || !wire.has_sender() || !isWithinLimits(wire))
-        return corrupt("has an unknown kind, no sender, or too many parts.");
+        return corrupt("has an unknown kind, no sender, or too many entries.");
     Message message;
     message.kind = static_cast<Kind>(wire.kind());
     BOOST_OUTCOME_TRY(message.sender, readRecord(wire.sender()));
--- a/Libraries/LibMembership/Prober.h
+++ b/Libraries/LibMembership/Prober.h
@@ -9,8 +9,8 @@
 
 namespace Membership {
 
-/// The probes under way, those relayed for others, and which members answer others but not this daemon.
-/// Pure; not thread-safe.
+/// Tracks probes in flight, probes relayed for other members, and members that only answer indirect probes.
+/// Performs no I/O and reads no clock. Not thread-safe.
 class Prober {
 public:
     using TimePoint = std::chrono::steady_clock::time_point;
@@ -21,7 +21,7 @@
         std::uint32_t sequence { 0 };
         TimePoint started;
         TimePoint deadline;
-        bool isIndirect { false }; ///< Helpers have been asked.
+        bool isIndirect { false }; ///< Whether other members have been asked to probe the target.
     };
 
     /// A probe sent on behalf of another member.
@@ -32,28 +32,28 @@
         TimePoint deadline;
     };
 
-    /// Starts a probe and returns its sequence.
+    /// Starts a probe and returns its sequence number.
     std::uint32_t start(std::uint64_t target, TimePoint now, TimePoint deadline);
-    /// Starts a probe for another member and returns its sequence; 0 when too many are under way.
+    /// Starts a probe for another member and returns its sequence number, or 0 when too many are in flight.
     std::uint32_t startRelay(Relay const&);
-    /// Ends the probe that `from` itself has answered; returns whether there was one.
+    /// Completes the probe that `from` has answered directly. Returns whether there was one.
     bool acknowledge(std::uint32_t sequence, std::uint64_t from);
-    /// Ends the probe of which a helper says that its target has answered.
+    /// Completes a probe whose target has answered a helper. Returns whether there was one.
     bool acknowledgeIndirectly(std::uint32_t sequence, std::uint64_t target);
-    /// Ends the relayed probe that `from` has answered and returns it.
+    /// Removes and returns the relayed probe that `from` has answered.
     std::optional<Relay> takeRelay(std::uint32_t sequence, std::uint64_t from);
-    /// Lets the direct probe of `target` expire now: its address cannot be reached.
+    /// Expires the direct probe of `target` at once, since its address is unreachable.
     void expireDirect(std::uint64_t target, TimePoint now);
-    /// Removes and returns the probes whose deadline has come.
+    /// Removes and returns the probes whose deadline has passed.
     std::vector<Probe> takeExpired(TimePoint now);
-    /// Puts back a probe that helpers now carry on.
+    /// Adds an expired direct probe again as an indirect one with a new deadline.
     void continueIndirectly(Probe, TimePoint deadline);
-    /// Moves all deadlines: this process was paused for so long.
+    /// Moves the start times and deadlines of own probes by the time for which this process was paused.
     void postpone(std::chrono::steady_clock::duration);
     bool isProbing(std::uint64_t target) const;
-    /// Returns whether the target last answered through helpers only.
+    /// Returns whether the last answer of the target arrived through a helper.
     bool isLinkDown(std::uint64_t target) const { return m_linksDown.contains(target); }
-    /// Returns the next deadline, or `fallback` when it is earlier.
+    /// Returns the earliest deadline of the own probes, or `fallback` if that is earlier.
     TimePoint nextDeadline(TimePoint fallback) const;
 
 private:
--- a/Libraries/LibMembership/Protocol.cpp
+++ b/Libraries/LibMembership/Protocol.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A gap between two calls that is longer than this many periods means that this process was paused.
+/// A gap of at least this many periods between two calls means that this process was paused.
 constexpr int pausePeriods = 3;
 
 }
@@ -16,7 +16,7 @@
     if (self.name.empty() || incarnation == 0)
         return Core::fail(Core::ErrorCode::BadInput, "A daemon needs a name and an incarnation above zero.");
     bool const areTimesSet = settings.period.count() > 0 && settings.probeTimeout.count() > 0 && settings.indirectTimeout.count() > 0
-        && settings.suspicionTimeout.count() > 0 && settings.healInterval.count() > 0;
+        && settings.suspicionTimeout.count() > 0 && settings.absentProbeInterval.count() > 0;
     if (!areTimesSet || settings.maxMembers == 0 || settings.recordsPerPush == 0 || settings.recordsPerPush > maxRecords / 2)
         return Core::fail(Core::ErrorCode::BadInput, "A membership time or limit is zero or too large.");
     return Protocol(settings, std::move(self), incarnation, seed, now);
@@ -37,7 +37,7 @@
     , m_lastWake(now)
     , m_lastRoundTrip(now)
     , m_nextPeriod(now + std::chrono::milliseconds(m_random() % static_cast<std::uint64_t>(settings.period.count())))
-    , m_nextHeal(now + settings.healInterval / 2 + std::chrono::milliseconds(m_random() % static_cast<std::uint64_t>(settings.healInterval.count())))
+    , m_nextAbsentProbe(now + settings.absentProbeInterval / 2 + std::chrono::milliseconds(m_random() % static_cast<std::uint64_t>(settings.absentProbeInterval.count())))
     , m_pushAt(TimePoint::max())
 {
     m_loads.setOwn({}, now);
@@ -45,28 +45,28 @@
 
 // Time and input
 
-void Protocol::noteTime(TimePoint now)
+void Protocol::updateTime(TimePoint now)
 {
     TimePoint::duration const gap = now - m_lastTime;
     m_lastTime = now;
     if (gap < pausePeriods * m_settings.period)
         return;
-    // What was due during the pause says nothing of the others.
+    // Deadlines that passed during the pause say nothing about other members.
     m_prober.postpone(gap);
     m_lastWake = now;
     m_lastRoundTrip += gap;
     m_nextPeriod = std::min(m_nextPeriod, now);
 }
 
-void Protocol::handleList(std::vector<ListedVm> const& list, TimePoint now)
+void Protocol::handleVmList(std::vector<ListedVm> const& list, TimePoint now)
 {
-    noteTime(now);
-    m_table.applyList(list, now);
+    updateTime(now);
+    m_table.applyVmList(list, now);
 }
 
 void Protocol::handleUnreachable(std::uint64_t to, TimePoint now)
 {
-    noteTime(now);
+    updateTime(now);
     m_prober.expireDirect(to, now);
 }
 
@@ -86,25 +86,25 @@
 
 Output Protocol::leave(TimePoint now)
 {
-    noteTime(now);
+    updateTime(now);
     m_self.isLeaving = true;
     m_self.status = Status::Left;
     ++m_self.version;
     Output output;
     Message message = make(Kind::Rumours);
     message.records.push_back(m_self);
-    for (std::uint64_t const contact : contacts())
-        send(output, contact, message);
+    for (std::uint64_t const neighbour : neighbours())
+        send(output, neighbour, message);
     return output;
 }
 
 Core::Result<Output> Protocol::handleMessage(std::string_view bytes, TimePoint now)
 {
     BOOST_OUTCOME_TRY(Message const message, decode(bytes));
-    noteTime(now);
+    updateTime(now);
     Output output;
     if (message.sender.id == m_self.id) {
-        applyOwn(message.sender); // An earlier or later process with this name.
+        handleClaimAboutSelf(message.sender); // An earlier or later process with this name.
         return output;
     }
     applyAll(message, now);
@@ -134,7 +134,7 @@
     records.push_back(message.sender);
     for (Record const& record : records) {
         if (record.id == m_self.id)
-            applyOwn(record);
+            handleClaimAboutSelf(record);
         else
             apply(record, now);
     }
@@ -145,21 +145,21 @@
 {
     Member const* const before = m_table.find(record.id);
     bool const wasSuspect = before && before->record.status == Status::Suspect;
-    Applied const applied = m_table.apply(record, now);
-    if (applied == Applied::Doubted)
-        m_doubts[record.id] = record;
-    if (applied != Applied::Changed || m_isNewcomer)
+    MergeResult const applied = m_table.apply(record, now);
+    if (applied == MergeResult::Doubted)
+        m_deathClaims[record.id] = record;
+    if (applied != MergeResult::Changed || m_isJoining)
         return;
-    // When many arrive at once, as after a partition, the comparison of digests carries them at less cost. The
-    // refutation of a suspicion cannot wait for that.
+    // When many members appear at once, as after a partition, synchronization by digests spreads them at less cost.
+    // The refutation of a suspicion cannot wait for that.
     bool const isArrival = record.status == Status::Alive && !wasSuspect;
     m_arrivals += isArrival ? 1 : 0;
-    if (isArrival && (m_arrivals > m_settings.arrivalsPerPeriod || !m_pushBudget.isOpen(now)))
+    if (isArrival && (m_arrivals > m_settings.arrivalsPerPeriod || !m_pushBudget.canSend(now)))
         return;
     queuePush(record.id, now);
 }
 
-void Protocol::applyOwn(Record const& record)
+void Protocol::handleClaimAboutSelf(Record const& record)
 {
     if (record.incarnation > m_self.incarnation)
         m_supersededBy = std::max(m_supersededBy, record.incarnation);
@@ -191,12 +191,12 @@
     m_prober.acknowledge(message.sequence, message.sender.id);
     m_lastRoundTrip = now;
     sendProfiles(message, output);
-    sendWanted(message, output, now);
+    sendWantedRecords(message, output, now);
     if (message.digest == digest()) {
-        m_isNewcomer = false;
+        m_isJoining = false;
         return;
     }
-    if (!message.buckets.empty() && m_syncBudget.isOpen(now))
+    if (!message.buckets.empty() && m_syncBudget.canSend(now))
         syncWith(message, output);
 }
 
@@ -224,13 +224,13 @@
     return hasOthers && now - m_lastRoundTrip > m_settings.isolationTimeout;
 }
 
-std::vector<std::uint64_t> const& Protocol::contacts()
+std::vector<std::uint64_t> const& Protocol::neighbours()
 {
-    if (m_contactsGeneration != m_table.generation()) {
-        m_contacts = contactsOf(m_self.id, m_zone, m_table, m_settings);
-        m_contactsGeneration = m_table.generation();
+    if (m_neighboursGeneration != m_table.generation()) {
+        m_neighbours = neighboursOf(m_self.id, m_zone, m_table, m_settings);
+        m_neighboursGeneration = m_table.generation();
     }
-    return m_contacts;
+    return m_neighbours;
 }
 
 std::uint64_t Protocol::preferredAggregator(std::uint32_t zone)
--- a/Libraries/LibMembership/Protocol.h
+++ b/Libraries/LibMembership/Protocol.h
@@ -17,93 +17,93 @@
     std::string bytes;
 };
 
-/// What the protocol wants sent.
+/// The messages to send after a call to the protocol.
 struct Output {
-    std::optional<std::string> reply; ///< The answer to the message just handled, on the same stream.
+    std::optional<std::string> reply; ///< The reply to the message just handled, sent on the same stream.
     std::vector<Outgoing> messages;
 };
 
-/// Which daemons there are, which of them live, and what load they have. Each watches a few others, so the cost
-/// does not grow with their number. docs/design/membership.md says how and why.
+/// A gossip protocol for group membership, failure detection and load reports. Each daemon probes only a few others,
+/// so its cost does not grow with their number. See docs/design/membership.md.
 ///
-/// Pure: it gets the time with each call, sends nothing itself and reads no clock. Times must not go back.
-/// Not thread-safe: it belongs to the control thread.
+/// Performs no I/O and reads no clock: each call passes the time, which must not decrease.
+/// Not thread-safe: used only by the control thread.
 class Protocol {
 public:
     using TimePoint = std::chrono::steady_clock::time_point;
 
     /// Creates the protocol of a process that starts at `now`. `incarnation` must be greater than that of each
-    /// earlier process with this name (milliseconds since 1970 will do); `seed` should differ between processes.
+    /// earlier process with this name (such as milliseconds since 1970); `seed` should differ between processes.
     /// Fails with BadInput when the incarnation or the name is missing, or a time or number is zero.
     static Core::Result<Protocol> create(Settings const&, Profile self, std::uint64_t incarnation, std::uint64_t seed, TimePoint now);
 
-    /// Takes the daemons of a VM list as just read. They are probed, but not taken as alive until heard of.
-    void handleList(std::vector<ListedVm> const&, TimePoint now);
-    /// Takes a message. Fails with Corrupt when it cannot be read; nothing has changed then.
+    /// Applies a new VM list. Its daemons are probed, but count as alive only after a record of them arrives.
+    void handleVmList(std::vector<ListedVm> const&, TimePoint now);
+    /// Handles a received message. Fails with Corrupt, and changes nothing, when it cannot be parsed.
     Core::Result<Output> handleMessage(std::string_view bytes, TimePoint now);
-    /// Takes note that a message could not be delivered: others are asked at once.
+    /// Handles a failed delivery: a direct probe of that member expires at once, which starts the indirect probe.
     void handleUnreachable(std::uint64_t to, TimePoint now);
-    /// Does what is due. To be called at `nextDeadline()`, and after the calls above.
+    /// Runs due timers. Must be called at `nextDeadline()` and after the calls above.
     Output advance(TimePoint now);
     TimePoint nextDeadline() const;
 
-    /// Sets the load that others are told of.
+    /// Sets the load that is reported to other members.
     void setLoad(Load const&, TimePoint now);
-    /// Tells the others that this daemon takes no new work.
+    /// Announces that this daemon accepts no new work.
     void startLeaving(TimePoint now);
-    /// Tells the others that this process ends now. Nothing may be called afterwards but getters.
+    /// Announces that this process ends. Only getters may be called afterwards.
     Output leave(TimePoint now);
 
     MemberTable const& table() const { return m_table; }
     LoadTable const& loads() const { return m_loads; }
     Record const& self() const { return m_self; }
     Profile const& profile() const { return m_profile; }
-    /// Returns and clears what has changed since the last call.
+    /// Returns and clears the changes since the last call.
     std::vector<Change> takeChanges() { return m_table.takeChanges(); }
-    /// Returns whether there are others but none has answered for `isolationTimeout`. While it is so, nobody is
-    /// declared dead here: what was last known stands.
+    /// Returns whether there are other members but none has answered for `isolationTimeout`. An isolated daemon
+    /// declares no member dead and keeps their last known state.
     bool isIsolated(TimePoint now) const;
-    /// Returns the incarnation of a later process with this name, or 0. This process should then end.
+    /// Returns the incarnation of a later process with this name, or 0. If not 0, this process should exit.
     std::uint64_t supersededBy() const { return m_supersededBy; }
-    /// Returns whether the member answers others but not this daemon.
+    /// Returns whether the member answers other members but not this daemon.
     bool isLinkDown(std::uint64_t id) const { return m_prober.isLinkDown(id); }
-    /// Returns the members that this daemon watches.
-    std::vector<std::uint64_t> const& contacts();
-    /// Returns the sum over the zones of a region and how many daemons it covers.
+    /// Returns the members that this daemon probes and pushes changes to.
+    std::vector<std::uint64_t> const& neighbours();
+    /// Returns the total load of the zones of a region and the number of daemons it covers.
     ZoneLoad regionLoad(std::string_view region, TimePoint now) const;
 
 private:
     Protocol(Settings const&, Profile self, std::uint64_t incarnation, std::uint64_t seed, TimePoint now);
 
-    void noteTime(TimePoint now);
+    void updateTime(TimePoint now);
     void applyAll(Message const&, TimePoint now);
     void apply(Record const&, TimePoint now);
-    void applyOwn(Record const&);
+    void handleClaimAboutSelf(Record const&);
     void applyLoads(Message const&, TimePoint now);
     void handleAck(Message const&, Output&, TimePoint now);
     void handleProbeRequest(Message const&, Output&, TimePoint now);
     Message makeReply(Message const&, TimePoint now);
     void answerSync(Message const&, Message& reply, TimePoint now);
     void syncWith(Message const&, Output&);
-    void sendWanted(Message const&, Output&, TimePoint now);
+    void sendWantedRecords(Message const&, Output&, TimePoint now);
     void sendProfiles(Message const&, Output&);
 
     void handleExpired(Prober::Probe const&, Output&, TimePoint now);
-    void askHelpers(Prober::Probe const&, Output&, TimePoint now);
+    void sendProbeRequests(Prober::Probe const&, Output&, TimePoint now);
     void startProbe(Output&, TimePoint now);
-    void verifyDoubt(Output&, TimePoint now);
-    bool isDoubted(Record const&) const;
-    void heal(Output&, TimePoint now);
+    void verifyDeathClaim(Output&, TimePoint now);
+    bool isUnverifiedDeath(Record const&) const;
+    void probeAbsentMember(Output&, TimePoint now);
     void expireSuspicions(TimePoint now);
     void push(Output&, TimePoint now);
     void queuePush(std::uint64_t id, TimePoint now);
-    std::vector<std::uint64_t> takePushes();
+    std::vector<std::uint64_t> takeQueuedPushes();
 
     Message make(Kind);
     Message makeProbe(Member const&, TimePoint now);
-    void addNews(Message&);
+    void addPiggybackedRecords(Message&);
     void addLoads(Message&, std::uint32_t zone, TimePoint now);
-    void addAccusation(Message&, Record const& to) const;
+    void addClaimsAboutReceiver(Message&, Record const& to) const;
     void send(Output&, std::uint64_t to, Message const&);
     void sendBudgeted(Output&, std::uint64_t to, Message const&, ByteBudget&);
     std::array<std::uint32_t, bucketCount> const& buckets();
@@ -122,26 +122,26 @@
     Prober m_prober;
     ByteBudget m_pushBudget;
     ByteBudget m_syncBudget;
-    std::set<std::uint64_t> m_pushes;
-    std::map<std::uint64_t, int> m_news; ///< How many more probes and answers are to carry the record.
-    std::size_t m_arrivals { 0 }; ///< In this period.
-    std::map<std::uint64_t, Record> m_doubts; ///< Claims that members which are alive here are dead.
+    std::set<std::uint64_t> m_queuedPushes;
+    std::map<std::uint64_t, int> m_piggybackCounts; ///< How many more probes and replies carry the record of each member.
+    std::size_t m_arrivals { 0 }; ///< Records of alive members merged in this period, except refutations.
+    std::map<std::uint64_t, Record> m_deathClaims; ///< Unverified claims that a member that is alive here is dead.
     std::unordered_map<std::uint32_t, std::uint64_t> m_aggregators;
     std::uint64_t m_aggregatorsGeneration { 0 };
-    std::vector<std::uint64_t> m_contacts;
-    std::size_t m_nextContact { 0 };
-    std::uint64_t m_contactsGeneration { 0 };
+    std::vector<std::uint64_t> m_neighbours;
+    std::size_t m_nextNeighbour { 0 };
+    std::uint64_t m_neighboursGeneration { 0 };
     std::uint64_t m_bucketsGeneration { 0 };
     std::uint32_t m_bucketsVersion { 0 };
     std::array<std::uint32_t, bucketCount> m_buckets {};
     std::uint64_t m_supersededBy { 0 };
-    bool m_isNewcomer { true };
+    bool m_isJoining { true };
     TimePoint m_started;
     TimePoint m_lastTime;
     TimePoint m_lastWake;
     TimePoint m_lastRoundTrip;
     TimePoint m_nextPeriod;
-    TimePoint m_nextHeal;
+    TimePoint m_nextAbsentProbe;
     TimePoint m_pushAt;
     TimePoint m_lastSuspicionCheck;
 };
--- a/Libraries/LibMembership/ProtocolMessages.cpp
+++ b/Libraries/LibMembership/ProtocolMessages.cpp
@@ -1,4 +1,4 @@
-// What `Protocol` says: answers, the exchange of records, and the composition of messages.
+// The part of `Protocol` that composes replies and other messages and exchanges records.
 #include <LibMembership/Protocol.h>
 #include <algorithm>
 #include <unordered_set>
@@ -12,10 +12,10 @@
 {
     Message reply = make(Kind::Ack);
     reply.sequence = message.sequence;
-    addAccusation(reply, message.sender);
+    addClaimsAboutReceiver(reply, message.sender);
     Member const* const sender = m_table.find(message.sender.id);
     if (message.kind == Kind::Probe) {
-        addNews(reply);
+        addPiggybackedRecords(reply);
         addLoads(reply, sender ? sender->zoneId : 0, now);
     }
     if (sender && !sender->hasProfile())
@@ -28,7 +28,7 @@
     if (message.kind == Kind::Sync)
         answerSync(message, reply, now);
     bool const mayDiffer = message.kind == Kind::Probe || message.kind == Kind::Sync;
-    if (mayDiffer && message.digest != reply.digest && m_syncBudget.isOpen(now)) {
+    if (mayDiffer && message.digest != reply.digest && m_syncBudget.canSend(now)) {
         std::array<std::uint32_t, bucketCount> const& own = buckets();
         reply.buckets.assign(own.begin(), own.end());
         m_syncBudget.spend(own.size() * sizeof(std::uint32_t));
@@ -38,7 +38,7 @@
 
 void Protocol::answerSync(Message const& message, Message& reply, TimePoint now)
 {
-    if (!m_syncBudget.isOpen(now))
+    if (!m_syncBudget.canSend(now))
         return;
     std::unordered_set<std::uint32_t> const theirs(message.recordDigests.begin(), message.recordDigests.end());
     std::unordered_set<std::uint32_t> own;
@@ -59,7 +59,7 @@
 {
     std::array<std::uint32_t, bucketCount> const& own = buckets();
     Message sync = make(Kind::Sync);
-    // A random start lets daemons that differ in many buckets not all begin with the same ones.
+    // Starts at a random bucket, so that daemons that differ in many buckets do not all request the same ones first.
     std::size_t const start = m_random() % bucketCount;
     for (std::size_t i = 0; i < bucketCount && sync.wantedBuckets.size() < m_settings.bucketsPerSync; ++i) {
         std::size_t const bucket = (start + i) % bucketCount;
@@ -67,17 +67,17 @@
             sync.wantedBuckets.push_back(static_cast<std::uint32_t>(bucket));
     }
     for (std::uint64_t const id : m_table.membersOf(sync.wantedBuckets)) {
-        // A digest that is left out costs no more than a record that the other side sends in vain.
+        // Omitting a digest only makes the other side send a record that is already known.
         if (sync.recordDigests.size() < maxRecords)
             sync.recordDigests.push_back(digestOf(m_table.find(id)->record));
     }
     sendBudgeted(output, message.sender.id, sync, m_syncBudget);
 }
 
-/// Sends the records that the answer to a sync asked for.
-void Protocol::sendWanted(Message const& message, Output& output, TimePoint now)
+/// Sends the records requested by the reply to a Sync message.
+void Protocol::sendWantedRecords(Message const& message, Output& output, TimePoint now)
 {
-    if (message.wantedRecords.empty() || !m_syncBudget.isOpen(now))
+    if (message.wantedRecords.empty() || !m_syncBudget.canSend(now))
         return;
     std::unordered_set<std::uint32_t> const wanted(message.wantedRecords.begin(), message.wantedRecords.end());
     Message rumours = make(Kind::Rumours);
@@ -123,28 +123,28 @@
     Message message = make(Kind::Probe);
     message.target = to.record.id;
     if (to.record.status == Status::Unheard)
-        message.sender.profile = m_profile; // Its VM list may lag behind ours.
-    addAccusation(message, to.record);
-    addNews(message);
+        message.sender.profile = m_profile; // Its VM list may not contain this daemon yet.
+    addClaimsAboutReceiver(message, to.record);
+    addPiggybackedRecords(message);
     addLoads(message, to.zoneId, now);
     return message;
 }
 
-/// Adds the latest changes. Pushes are quicker, but under many changes their budget runs out.
-void Protocol::addNews(Message& message)
+/// Adds recent changes to a probe or reply. Pushes are faster, but many changes exhaust their budget.
+void Protocol::addPiggybackedRecords(Message& message)
 {
     std::vector<std::pair<int, std::uint64_t>> order;
-    for (std::pair<std::uint64_t const, int> const& news : m_news)
+    for (std::pair<std::uint64_t const, int> const& news : m_piggybackCounts)
         order.emplace_back(-news.second, news.first);
-    std::size_t const count = std::min(order.size(), m_settings.newsPerMessage);
+    std::size_t const count = std::min(order.size(), m_settings.piggybackedRecordsPerMessage);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count), order.end());
     order.resize(count);
     for (std::pair<int, std::uint64_t> const& entry : order) {
         Member const* const member = m_table.find(entry.second);
         if (member)
             message.records.push_back(m_table.recordOf(entry.second, !member->isListed));
-        if (--m_news[entry.second] <= 0 || !member)
-            m_news.erase(entry.second); // This daemon's own record is in every message anyway.
+        if (--m_piggybackCounts[entry.second] <= 0 || !member)
+            m_piggybackCounts.erase(entry.second); // Also drops the own record, which has no table entry and is in every message.
     }
 }
 
@@ -155,18 +155,18 @@
     message.zoneLoads = m_loads.pickZones(m_settings.zoneLoadsPerMessage, now);
 }
 
-/// Tells the receiver what is claimed of it beyond what it says itself, so that it can refute, or learn that a
-/// later process has its name.
-void Protocol::addAccusation(Message& message, Record const& to) const
+/// Adds claims about the receiver that are newer than its own record or say that it failed, so that it can refute
+/// them or learn that a later process has its name.
+void Protocol::addClaimsAboutReceiver(Message& message, Record const& to) const
 {
-    auto const doubt = m_doubts.find(to.id);
-    if (doubt != m_doubts.end() && supersedes(doubt->second, to))
+    auto const doubt = m_deathClaims.find(to.id);
+    if (doubt != m_deathClaims.end() && supersedes(doubt->second, to))
         message.records.push_back(doubt->second);
     Member const* const member = m_table.find(to.id);
     if (!member)
         return;
-    bool const isAccused = member->record.status == Status::Suspect || member->record.status == Status::Dead;
-    if (isAccused || supersedes(member->record, to))
+    bool const isBelievedFailed = member->record.status == Status::Suspect || member->record.status == Status::Dead;
+    if (isBelievedFailed || supersedes(member->record, to))
         message.records.push_back(member->record);
 }
 
--- a/Libraries/LibMembership/ProtocolTimers.cpp
+++ b/Libraries/LibMembership/ProtocolTimers.cpp
@@ -1,4 +1,4 @@
-// What `Protocol` does by time: probes, suspicions, healing, and passing on what has changed.
+// The timers of `Protocol`: probes, suspicion timeouts, probes of absent members, and pushes of changes.
 #include <LibMembership/Protocol.h>
 #include <algorithm>
 
@@ -6,27 +6,27 @@
 
 namespace {
 
-/// A newcomer passes on nothing but itself for at most this long.
-constexpr std::chrono::seconds newcomerTime { 10 };
-/// However many are suspected at once, none stays so for longer than this.
-constexpr std::chrono::seconds longestSuspicion { 30 };
+/// A joining daemon does not forward received changes until its digest matches another's, but at most for this long.
+constexpr std::chrono::seconds maxJoinTime { 10 };
+/// Upper limit of the suspicion timeout, however many members are suspected at once.
+constexpr std::chrono::seconds maxSuspicionTimeout { 30 };
 
 }
 
 Output Protocol::advance(TimePoint now)
 {
-    noteTime(now);
+    updateTime(now);
     Output output;
     if (m_self.status == Status::Left)
         return output;
-    if (now - m_started > newcomerTime)
-        m_isNewcomer = false;
+    if (now - m_started > maxJoinTime)
+        m_isJoining = false;
     for (Prober::Probe const& probe : m_prober.takeExpired(now))
         handleExpired(probe, output, now);
     if (now >= m_nextPeriod) {
         m_arrivals = 0;
         startProbe(output, now);
-        verifyDoubt(output, now);
+        verifyDeathClaim(output, now);
         m_nextPeriod = std::max(m_nextPeriod + m_settings.period, now + m_settings.period / 2);
         if (preferredAggregator(m_zone) == m_self.id) {
             m_loads.sumOwnZone([this](std::uint64_t id) {
@@ -35,12 +35,12 @@
             },
                 now);
         }
-        m_loads.forget(now - m_settings.loadLifetime);
+        m_loads.forgetBefore(now - m_settings.loadLifetime);
     }
-    if (now >= m_nextHeal) {
-        heal(output, now);
-        m_table.forget(now - m_settings.forgetAfter);
-        m_nextHeal = now + m_settings.healInterval;
+    if (now >= m_nextAbsentProbe) {
+        probeAbsentMember(output, now);
+        m_table.forgetBefore(now - m_settings.forgetAfter);
+        m_nextAbsentProbe = now + m_settings.absentProbeInterval;
     }
     if (m_table.suspects() > 0 && now - m_lastSuspicionCheck >= m_settings.pushDelay) {
         m_lastSuspicionCheck = now;
@@ -52,7 +52,7 @@
 
 Protocol::TimePoint Protocol::nextDeadline() const
 {
-    TimePoint const timers = std::min({ m_nextPeriod, m_nextHeal, m_pushAt });
+    TimePoint const timers = std::min({ m_nextPeriod, m_nextAbsentProbe, m_pushAt });
     return m_prober.nextDeadline(timers);
 }
 
@@ -60,20 +60,20 @@
 
 void Protocol::startProbe(Output& output, TimePoint now)
 {
-    std::vector<std::uint64_t> const& known = contacts();
+    std::vector<std::uint64_t> const& known = neighbours();
     std::size_t const wanted = m_settings.zoneRings + m_settings.globalRings;
-    m_nextContact = (m_nextContact + 1) % std::max<std::size_t>(1, std::min(wanted, m_table.members().size()));
+    m_nextNeighbour = (m_nextNeighbour + 1) % std::max<std::size_t>(1, std::min(wanted, m_table.members().size()));
     std::uint64_t target = 0;
     if (now - m_lastRoundTrip > 2 * m_settings.period) {
-        // None of the contacts answers. They may all be gone, or this daemon is cut off: anyone's answer will tell.
+        // No neighbour answers. Either all have failed or this daemon is cut off; an answer from any member tells which.
         target = pickOne(idsWhere([](Member const& member) { return member.hasProfile() && member.record.status != Status::Left; }));
-    } else if (m_nextContact < known.size()) {
-        target = known[m_nextContact];
+    } else if (m_nextNeighbour < known.size()) {
+        target = known[m_nextNeighbour];
     } else {
-        // Too few are known to be present: look for others in the list.
+        // Too few members are known to be present; probe others from the VM list.
         target = pickOne(idsWhere([](Member const& member) { return member.record.status == Status::Unheard && member.hasProfile(); }));
         if (target == 0 && !known.empty())
-            target = known[m_nextContact % known.size()];
+            target = known[m_nextNeighbour % known.size()];
     }
     Member const* const member = m_table.find(target);
     if (!member || m_prober.isProbing(target))
@@ -83,21 +83,21 @@
     send(output, target, probe);
 }
 
-bool Protocol::isDoubted(Record const& claim) const
+bool Protocol::isUnverifiedDeath(Record const& claim) const
 {
     Member const* const member = m_table.find(claim.id);
     return member && member->record.status == Status::Alive && supersedes(claim, member->record);
 }
 
-void Protocol::verifyDoubt(Output& output, TimePoint now)
+void Protocol::verifyDeathClaim(Output& output, TimePoint now)
 {
-    std::erase_if(m_doubts, [this](std::pair<std::uint64_t const, Record> const& doubt) { return !isDoubted(doubt.second); });
-    if (m_doubts.empty())
+    std::erase_if(m_deathClaims, [this](std::pair<std::uint64_t const, Record> const& doubt) { return !isUnverifiedDeath(doubt.second); });
+    if (m_deathClaims.empty())
         return;
-    // Each daemon begins elsewhere, so that together they soon reach everyone who is doubted.
-    auto it = m_doubts.lower_bound(m_random());
-    if (it == m_doubts.end())
-        it = m_doubts.begin();
+    // Each daemon picks a random claim, so that all claims are soon verified by some daemon.
+    auto it = m_deathClaims.lower_bound(m_random());
+    if (it == m_deathClaims.end())
+        it = m_deathClaims.begin();
     std::uint64_t const target = it->first;
     if (m_prober.isProbing(target))
         return;
@@ -112,17 +112,17 @@
     if (!member || member->record.status != Status::Alive)
         return;
     if (!probe.isIndirect) {
-        askHelpers(probe, output, now);
+        sendProbeRequests(probe, output, now);
         return;
     }
-    // Without any answer since the probe began, the fault may lie at this end.
+    // If no member has answered since the probe started, this daemon itself may be cut off.
     if (m_lastRoundTrip <= probe.started)
         return;
     m_table.setStatus(probe.target, Status::Suspect, now);
     queuePush(probe.target, now);
 }
 
-void Protocol::askHelpers(Prober::Probe const& probe, Output& output, TimePoint now)
+void Protocol::sendProbeRequests(Prober::Probe const& probe, Output& output, TimePoint now)
 {
     std::uint32_t const zone = m_table.find(probe.target)->zoneId;
     auto const canHelp = [&probe](Member const& member) { return member.record.status == Status::Alive && member.hasProfile() && member.record.id != probe.target; };
@@ -142,7 +142,7 @@
     m_prober.continueIndirectly(probe, now + m_settings.indirectTimeout);
 }
 
-void Protocol::heal(Output& output, TimePoint now)
+void Protocol::probeAbsentMember(Output& output, TimePoint now)
 {
     std::uint64_t const target = pickOne(idsWhere([](Member const& member) {
         bool const isMissing = member.record.status == Status::Unheard || member.record.status == Status::Dead;
@@ -155,11 +155,11 @@
 void Protocol::expireSuspicions(TimePoint now)
 {
     TimePoint::duration const extension = m_settings.suspicionPerSuspect * (m_table.suspects() - 1);
-    TimePoint::duration const timeout = std::min<TimePoint::duration>(m_settings.suspicionTimeout + extension, longestSuspicion);
+    TimePoint::duration const timeout = std::min<TimePoint::duration>(m_settings.suspicionTimeout + extension, maxSuspicionTimeout);
     std::vector<std::uint64_t> const suspects = idsWhere([](Member const& member) { return member.record.status == Status::Suspect; });
     for (std::uint64_t const id : suspects) {
         TimePoint const since = std::max(m_table.find(id)->changed, m_lastWake);
-        // While nobody answers this daemon, a refutation could not have arrived either.
+        // If no member has answered since then, a refutation could not have arrived either.
         if (now - since < timeout || m_lastRoundTrip <= since)
             continue;
         m_table.setStatus(id, Status::Dead, now);
@@ -167,31 +167,31 @@
     }
 }
 
-// Passing on
+// Pushes
 
 void Protocol::queuePush(std::uint64_t id, TimePoint now)
 {
-    m_pushes.insert(id);
-    m_news[id] = m_settings.newsRepeats;
+    m_queuedPushes.insert(id);
+    m_piggybackCounts[id] = m_settings.piggybackRepeats;
     if (m_pushAt == TimePoint::max())
         m_pushAt = now + m_settings.pushDelay;
 }
 
-std::vector<std::uint64_t> Protocol::takePushes()
+std::vector<std::uint64_t> Protocol::takeQueuedPushes()
 {
-    // Refutations and arrivals go first: they are what keeps a suspect from being given up.
+    // Refutations and new members go first, since refutations keep suspects from being declared dead.
     auto const rank = [this](std::uint64_t id) {
         if (id == m_self.id)
             return 0;
         Member const* const member = m_table.find(id);
         return member ? 1 + static_cast<int>(member->record.status) : 9;
     };
-    std::vector<std::uint64_t> ids(m_pushes.begin(), m_pushes.end());
+    std::vector<std::uint64_t> ids(m_queuedPushes.begin(), m_queuedPushes.end());
     std::ranges::sort(ids, [&rank](std::uint64_t first, std::uint64_t second) { return std::pair(rank(first), first) < std::pair(rank(second), second); });
     if (ids.size() > m_settings.recordsPerPush)
         ids.resize(m_settings.recordsPerPush);
     for (std::uint64_t const id : ids)
-        m_pushes.erase(id);
+        m_queuedPushes.erase(id);
     return ids;
 }
 
@@ -200,10 +200,10 @@
     if (now < m_pushAt)
         return;
     m_pushAt = now + m_settings.pushDelay;
-    if (!m_pushBudget.isOpen(now) || contacts().empty())
+    if (!m_pushBudget.canSend(now) || neighbours().empty())
         return;
-    std::vector<std::uint64_t> const ids = takePushes();
-    if (m_pushes.empty())
+    std::vector<std::uint64_t> const ids = takeQueuedPushes();
+    if (m_queuedPushes.empty())
         m_pushAt = TimePoint::max();
     Message message = make(Kind::Rumours);
     for (std::uint64_t const id : ids) {
@@ -217,8 +217,8 @@
     }
     if (message.records.empty())
         return;
-    for (std::uint64_t const contact : contacts())
-        sendBudgeted(output, contact, message, m_pushBudget);
+    for (std::uint64_t const neighbour : neighbours())
+        sendBudgeted(output, neighbour, message, m_pushBudget);
 }
 
 std::vector<std::uint64_t> Protocol::idsWhere(std::function<bool(Member const&)> const& isWanted) const
@@ -228,7 +228,7 @@
         if (isWanted(entry.second))
             ids.push_back(entry.first);
     }
-    std::ranges::sort(ids); // The order must not depend on the hash table, so that a seed repeats a run.
+    std::ranges::sort(ids); // Makes runs reproducible from a seed: the order of the hash table is unspecified.
     return ids;
 }
 
--- a/Libraries/LibMembership/Record.h
+++ b/Libraries/LibMembership/Record.h
@@ -6,11 +6,11 @@
 
 namespace Membership {
 
-/// A claim about one daemon, as it is passed on.
+/// A claim about one daemon, as sent in messages.
 struct Record {
     std::uint64_t id { 0 };
-    std::uint64_t incarnation { 0 }; ///< Greater in each process of the same name.
-    std::uint32_t version { 0 }; ///< Raised by the daemon itself, to refute or to tell that it leaves.
+    std::uint64_t incarnation { 0 }; ///< Increases with each process of the same name.
+    std::uint32_t version { 0 }; ///< Incremented only by the daemon itself, to refute a claim or to announce that it leaves.
     Status status { Status::Alive };
     bool isLeaving { false };
     std::optional<Profile> profile;
@@ -18,7 +18,8 @@
     bool operator==(Record const&) const = default;
 };
 
-/// Returns whether `first` is newer than `second`, or says worse of the same incarnation and version. Thread-safe.
+/// Returns whether `first` is newer than `second`, or has a later status at the same incarnation and version.
+/// Thread-safe.
 bool supersedes(Record const& first, Record const& second);
 
 }
--- a/Libraries/LibMembership/Status.h
+++ b/Libraries/LibMembership/Status.h
@@ -5,13 +5,13 @@
 
 namespace Membership {
 
-/// What is believed of a daemon. Of two records with the same incarnation and version, the later status here wins.
+/// The status of a daemon. Of two records with the same incarnation and version, the one with the later status wins.
 enum class Status : std::uint8_t {
-    Unheard, ///< It stands in the VM list, but nobody has told of it yet.
+    Unheard, ///< Known from the VM list, but no record of it has been received yet.
     Alive,
-    Suspect, ///< It answered neither directly nor through others; it may refute this.
+    Suspect, ///< It answered neither direct nor indirect probes, and may still refute the suspicion.
     Dead, ///< The suspicion was not refuted in time.
-    Left, ///< It said itself that it has ended.
+    Left, ///< It has announced its exit.
 };
 
 inline constexpr Core::EnumNames<Status, 5> statusNames { {
--- a/Tests/LibMembership/BenchMembership.cpp
+++ b/Tests/LibMembership/BenchMembership.cpp
@@ -67,7 +67,7 @@
             first.push_back(suspected->count());
             all.push_back((*suspected + *dead).count());
         }
-        wrong += network.takeWrongDeaths();
+        wrong += network.takeFalseDeaths();
         network.start(victim);
         network.run(20s);
     }
@@ -105,7 +105,7 @@
     network.startSettled();
     network.loss = loss;
     network.run(120s);
-    std::printf("410 daemons, %.0f%% of messages lost, 120 s: wrong deaths %zu\n", loss * 100, network.takeWrongDeaths());
+    std::printf("410 daemons, %.0f%% of messages lost, 120 s: wrong deaths %zu\n", loss * 100, network.takeFalseDeaths());
 }
 
 }
--- a/Tests/LibMembership/Network.h
+++ b/Tests/LibMembership/Network.h
@@ -11,19 +11,19 @@
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 
-/// Daemons in virtual time, joined by a network with delay, loss, cuts and pauses.
+/// Simulates daemons in virtual time, connected by a network with delay, loss, partitions and pauses.
 class Network {
 public:
     struct Node {
         Membership::Profile profile;
         std::optional<Membership::Protocol> protocol;
         std::uint64_t incarnation { 0 };
-        bool isUp { false }; ///< The process runs.
-        bool isVmUp { true }; ///< A connection to a process that does not run is refused by its VM.
+        bool isUp { false }; ///< Whether the process runs.
+        bool isVmUp { true }; ///< Whether its VM runs, and so refuses connections while the process does not run.
         bool isPaused { false };
-        std::size_t bytes { 0 }; ///< Sent and received, with the overhead of each message.
+        std::size_t bytes { 0 }; ///< Sent and received, including the overhead per message.
         TimePoint wakeAt { TimePoint::max() };
-        std::deque<std::function<void()>> held; ///< What arrived during a pause.
+        std::deque<std::function<void()>> held; ///< Deliveries that arrived during a pause.
     };
 
     explicit Network(std::uint64_t seed, Membership::Settings const& settings = {})
@@ -43,7 +43,7 @@
         m_nodes.push_back(std::move(node));
         return i;
     }
-    /// Starts all, each of them knowing the others: the state after a long time without faults.
+    /// Starts all daemons with full knowledge of each other, as after a long time without faults.
     void startSettled()
     {
         startAll();
@@ -60,16 +60,16 @@
             for (Membership::Message const& message : messages)
                 (void)node.protocol->handleMessage(Membership::encode(message), m_now);
         }
-        // The first daemon does not take messages that seem to come from itself.
+        // The first daemon ignores messages that carry its own ID as the sender.
         messages[0].sender = m_nodes[1].protocol->self();
         for (Membership::Message& message : messages) {
             message.sender = messages[0].sender;
             (void)m_nodes[0].protocol->handleMessage(Membership::encode(message), m_now);
         }
-        run(std::chrono::seconds(12)); // Until nobody counts as a newcomer.
-        takeWrongDeaths();
+        run(std::chrono::seconds(12)); // Longer than the joining phase of a daemon.
+        takeFalseDeaths();
     }
-    /// Starts, or starts again, with a greater incarnation and the VM list as it is.
+    /// Starts or restarts a daemon with a greater incarnation and the current VM list.
     void start(std::size_t i)
     {
         Node& node = m_nodes[i];
@@ -79,7 +79,7 @@
         node.isVmUp = true;
         node.isPaused = false;
         node.held.clear();
-        node.protocol->handleList(list, m_now);
+        node.protocol->handleVmList(list, m_now);
         schedule(i);
     }
     void startAll()
@@ -87,7 +87,7 @@
         for (std::size_t i = 0; i < m_nodes.size(); ++i)
             start(i);
     }
-    /// Ends the process, and its VM as well unless `isVmUp`.
+    /// Stops the process, and its VM as well unless `isVmUp`.
     void kill(std::size_t i, bool isVmUp = false)
     {
         m_nodes[i].isUp = false;
@@ -104,7 +104,7 @@
             action();
         schedule(i);
     }
-    /// Gives the present `list` to every running daemon at once.
+    /// Passes the current `list` to every running daemon.
     void publishList()
     {
         for (std::size_t i = 0; i < m_nodes.size(); ++i)
@@ -113,9 +113,9 @@
     void publishListTo(std::size_t i)
     {
         if (m_nodes[i].isUp && !m_nodes[i].isPaused)
-            m_nodes[i].protocol->handleList(list, m_now);
+            m_nodes[i].protocol->handleVmList(list, m_now);
     }
-    /// Puts all nodes into `list`.
+    /// Sets `list` to all nodes.
     void listAll()
     {
         list.clear();
@@ -134,7 +134,7 @@
         }
         m_now = end;
     }
-    /// Runs until `isDone`, looking each 100 ms; returns the time taken, or nothing after `limit`.
+    /// Runs until `isDone`, checked every 100 ms. Returns the time taken, or nothing after `limit`.
     std::optional<std::chrono::milliseconds> runUntil(std::function<bool()> const& isDone, std::chrono::milliseconds limit)
     {
         constexpr std::chrono::milliseconds step { 100 };
@@ -145,7 +145,7 @@
         }
         return std::nullopt;
     }
-    /// Does what the protocol asks for, outside its own deadlines.
+    /// Sends the output of a protocol call made outside its own deadlines.
     void carryOut(std::size_t i, Membership::Output const& output)
     {
         for (Membership::Outgoing const& message : output.messages) {
@@ -159,13 +159,13 @@
     std::size_t size() const { return m_nodes.size(); }
     TimePoint now() const { return m_now; }
     std::mt19937_64& random() { return m_random; }
-    /// Returns the status of `of` in the eyes of `by`.
+    /// Returns the status of `of` according to `by`.
     Membership::Status statusOf(std::size_t of, std::size_t by)
     {
         Membership::Member const* const member = m_nodes[by].protocol->table().find(Membership::memberIdOf(m_nodes[of].profile.name));
         return member ? member->record.status : Membership::Status::Unheard;
     }
-    /// Returns whether every running daemon sees exactly the running ones as alive, in their present incarnation.
+    /// Returns whether every running daemon sees exactly the running ones as alive, with their current incarnation.
     bool isConverged()
     {
         for (std::size_t by = 0; by < m_nodes.size(); ++by) {
@@ -193,8 +193,8 @@
         }
         return true;
     }
-    /// Returns and clears how often any daemon took a running one for dead or left.
-    std::size_t takeWrongDeaths()
+    /// Returns and clears how often a daemon considered a running one dead or left.
+    std::size_t takeFalseDeaths()
     {
         std::size_t n = 0;
         for (std::size_t by = 0; by < m_nodes.size(); ++by) {
@@ -212,7 +212,7 @@
         for (Node& node : m_nodes)
             node.bytes = 0;
     }
-    /// Returns the mean and the largest number of bytes a second over `time`, sent and received, since `clearBytes`.
+    /// Returns the mean and the maximum bytes per second of a daemon over `time`, sent and received, since `clearBytes`.
     std::pair<double, double> bytesPerSecond(std::chrono::milliseconds time) const
     {
         double sum = 0;
@@ -226,8 +226,8 @@
     }
 
     std::vector<Membership::ListedVm> list;
-    double loss { 0 }; ///< The share of messages that are lost.
-    std::function<bool(std::size_t from, std::size_t to)> isCut; ///< Set: no message passes in that direction.
+    double loss { 0 }; ///< The fraction of messages that are lost.
+    std::function<bool(std::size_t from, std::size_t to)> isCut; ///< Whether messages in that direction are dropped.
 
 private:
     struct Event {
--- a/Tests/LibMembership/TestCells.cpp
+++ b/Tests/LibMembership/TestCells.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-std::vector<Placed> placed(std::string const& prefix, std::size_t count, std::size_t zones)
+std::vector<LocatedNode> locatedNodes(std::string const& prefix, std::size_t count, std::size_t zones)
 {
-    std::vector<Placed> result;
+    std::vector<LocatedNode> result;
     for (std::size_t i = 0; i < count; ++i) {
         std::size_t const zone = i % zones;
         result.push_back({ prefix + std::to_string(i), "zone-" + std::to_string(zone), "region-" + std::to_string(zone * 3 / zones) });
@@ -17,16 +17,16 @@
     return result;
 }
 
-bool everyone(std::string const&)
+bool acceptAll(std::string const&)
 {
     return true;
 }
 
 }
 
-TEST(Cells, AtTheSizeOfThePlanNobodyFollowsManyTargets)
+TEST(Cells, FewTargetsPerDaemonAtPlannedFleetSize)
 {
-    Cells const cells = Cells::create(placed("entry-", 410, 11), placed("engine-", 6700, 11), 9).value();
+    Cells const cells = Cells::create(locatedNodes("entry-", 410, 11), locatedNodes("engine-", 6700, 11), 9).value();
     EXPECT_EQ(cells.cells().size(), 44U);
     std::map<std::string, std::size_t> watched;
     for (Cell const& cell : cells.cells()) {
@@ -34,7 +34,7 @@
         EXPECT_LE(cell.daemons.size(), 10U);
         EXPECT_LE(cell.targets.size(), 200U);
         for (std::string const& target : cell.targets)
-            ++watched[cells.watcherOf(target, everyone)];
+            ++watched[cells.watcherOf(target, acceptAll)];
     }
     std::size_t most = 0;
     for (std::pair<std::string const, std::size_t> const& entry : watched)
@@ -43,45 +43,45 @@
     EXPECT_LE(most, 40U);
 }
 
-TEST(Cells, TodaysFleetIsOneCellInEachZone)
+TEST(Cells, CurrentFleetHasOneCellPerZone)
 {
-    Cells const cells = Cells::create(placed("entry-", 8, 3), placed("engine-", 9, 3), 9).value();
+    Cells const cells = Cells::create(locatedNodes("entry-", 8, 3), locatedNodes("engine-", 9, 3), 9).value();
     EXPECT_EQ(cells.cells().size(), 3U);
     EXPECT_EQ(cells.cellOfDaemon("entry-0")->availabilityZone, "zone-0");
     EXPECT_EQ(cells.cellOfTarget("engine-0"), cells.cellOfDaemon("entry-0"));
     EXPECT_EQ(cells.cellOfDaemon("entry-99"), nullptr);
 }
 
-TEST(Cells, OneDaemonMoreMovesFew)
+TEST(Cells, AddingADaemonChangesFewWatchers)
 {
-    std::vector<Placed> daemons = placed("entry-", 38, 1);
-    std::vector<Placed> const targets = placed("engine-", 600, 1);
+    std::vector<LocatedNode> daemons = locatedNodes("entry-", 38, 1);
+    std::vector<LocatedNode> const targets = locatedNodes("engine-", 600, 1);
     Cells const before = Cells::create(daemons, targets, 9).value();
     daemons.push_back({ "entry-new", "zone-0", "region-0" });
     Cells const after = Cells::create(daemons, targets, 9).value();
     ASSERT_EQ(before.cells().size(), after.cells().size());
     std::size_t moved = 0;
-    for (Placed const& target : targets)
+    for (LocatedNode const& target : targets)
         moved += before.cellOfTarget(target.name) - before.cells().data() != after.cellOfTarget(target.name) - after.cells().data() ? 1 : 0;
     EXPECT_EQ(moved, 0U);
     std::size_t rewatched = 0;
-    for (Placed const& target : targets)
-        rewatched += before.watcherOf(target.name, everyone) != after.watcherOf(target.name, everyone) ? 1 : 0;
+    for (LocatedNode const& target : targets)
+        rewatched += before.watcherOf(target.name, acceptAll) != after.watcherOf(target.name, acceptAll) ? 1 : 0;
     RecordProperty("watchersChangedOf600", static_cast<int>(rewatched));
     EXPECT_LT(rewatched, 200U);
 }
 
-TEST(Cells, ZeroDaemonsInACellIsRefused)
+TEST(Cells, RejectsZeroDaemonsPerCell)
 {
     EXPECT_EQ(Cells::create({}, {}, 0).error().code, Core::ErrorCode::BadInput);
 }
 
-RC_GTEST_PROP(Cells, EveryTargetHasOneWatcherWhateverTheOrderOfTheList, ())
+RC_GTEST_PROP(Cells, EveryTargetHasOneWatcherRegardlessOfListOrder, ())
 {
     std::size_t const daemonCount = *rc::gen::inRange<std::size_t>(1, 60);
     std::size_t const zones = *rc::gen::inRange<std::size_t>(1, 12);
-    std::vector<Placed> daemons = placed("entry-", daemonCount, zones);
-    std::vector<Placed> targets = placed("engine-", *rc::gen::inRange<std::size_t>(0, 200), *rc::gen::inRange<std::size_t>(1, 12));
+    std::vector<LocatedNode> daemons = locatedNodes("entry-", daemonCount, zones);
+    std::vector<LocatedNode> targets = locatedNodes("engine-", *rc::gen::inRange<std::size_t>(0, 200), *rc::gen::inRange<std::size_t>(1, 12));
     Cells const cells = Cells::create(daemons, targets, 9).value();
     std::reverse(daemons.begin(), daemons.end());
     std::reverse(targets.begin(), targets.end());
@@ -90,11 +90,11 @@
     for (Cell const& cell : cells.cells())
         assigned += cell.targets.size();
     RC_ASSERT(assigned == targets.size());
-    for (Placed const& target : targets) {
-        std::string const watcher = cells.watcherOf(target.name, everyone);
+    for (LocatedNode const& target : targets) {
+        std::string const watcher = cells.watcherOf(target.name, acceptAll);
         RC_ASSERT(!watcher.empty());
-        RC_ASSERT(watcher == same.watcherOf(target.name, everyone));
-        // Without that watcher another of the cell takes over, and nobody else's target changes hands.
+        RC_ASSERT(watcher == same.watcherOf(target.name, acceptAll));
+        // If the watcher fails, another daemon of the cell takes over, and the watchers of other targets do not change.
         auto const others = [&watcher](std::string const& name) { return name != watcher; };
         std::string const next = cells.watcherOf(target.name, others);
         RC_ASSERT(next != watcher);
--- a/Tests/LibMembership/TestMessage.cpp
+++ b/Tests/LibMembership/TestMessage.cpp
@@ -47,7 +47,7 @@
 
 }
 
-TEST(Message, AFullOneSurvivesTheWireAndIsWithinTheBound)
+TEST(Message, MaximumSizeMessageRoundTripsWithinLimit)
 {
     Message message = fullMessage(maxRecords);
     message.wantedProfiles.assign(1, 7);
@@ -58,7 +58,7 @@
     EXPECT_EQ(decode(encode(message)).value(), message);
 }
 
-TEST(Message, ProfilesOfOnePushFit)
+TEST(Message, ProfilesOfOnePushFitInAMessage)
 {
     Message message;
     message.sender = { 1, 1, 0, Status::Alive, false, {} };
@@ -70,7 +70,7 @@
     EXPECT_EQ(decode(encode(message)).value(), message);
 }
 
-TEST(Message, WhatBreaksALimitIsRefused)
+TEST(Message, RejectsMessagesBeyondLimits)
 {
     Message message = fullMessage(1);
     message.sender.incarnation = 0;
@@ -84,20 +84,20 @@
     message.wantedBuckets = { bucketCount };
     EXPECT_FALSE(decode(encode(message)).has_value());
     message = fullMessage(1);
-    message.records[0].profile = longProfile(1); // Another's id.
+    message.records[0].profile = longProfile(1); // The ID of another member.
     EXPECT_FALSE(decode(encode(message)).has_value());
     EXPECT_FALSE(decode(std::string(maxMessageBytes + 1, 'x')).has_value());
     EXPECT_FALSE(decode("").has_value());
 }
 
-RC_GTEST_PROP(Message, AnyBytesAreReadOrRefused, (std::string const& bytes))
+RC_GTEST_PROP(Message, ArbitraryBytesAreParsedOrRejected, (std::string const& bytes))
 {
     Core::Result<Message> const message = decode(bytes);
     if (message.has_value())
         RC_ASSERT(decode(encode(message.value())).value() == message.value());
 }
 
-RC_GTEST_PROP(Message, AnyDamageIsReadOrRefused, ())
+RC_GTEST_PROP(Message, CorruptedMessagesAreParsedOrRejected, ())
 {
     std::string bytes = encode(fullMessage(3));
     std::vector<std::pair<std::size_t, char>> const damage = *rc::gen::container<std::vector<std::pair<std::size_t, char>>>(
@@ -110,7 +110,7 @@
         RC_ASSERT(decode(encode(message.value())).value() == message.value());
 }
 
-RC_GTEST_PROP(MemberTable, NoClaimTakesAMemberBack, ())
+RC_GTEST_PROP(MemberTable, RecordsNeverRegress, ())
 {
     MemberTable table(99, 100);
     std::chrono::steady_clock::time_point now;
@@ -118,12 +118,12 @@
         Record const before = table.recordOf(record.id, false);
         bool const wasKnown = table.find(record.id) != nullptr;
         now += std::chrono::seconds(1);
-        bool const isChanged = table.apply(record, now) == Applied::Changed;
+        bool const isChanged = table.apply(record, now) == MergeResult::Changed;
         Record const after = table.recordOf(record.id, false);
         RC_ASSERT(isChanged == (!wasKnown || after != before));
         RC_ASSERT(after.incarnation >= before.incarnation);
         RC_ASSERT(!isChanged || !wasKnown || supersedes(after, before));
-        // Nobody goes from alive to dead in one step, other than by its own word.
+        // No claim changes a member from alive to dead in one step; only its own announcement ends it at once (left).
         RC_ASSERT(!(wasKnown && before.status == Status::Alive && after.status == Status::Dead));
     }
 }
--- a/Tests/LibMembership/TestProtocol.cpp
+++ b/Tests/LibMembership/TestProtocol.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// The size of a fleet: today's, and that of the plan.
+/// The fleet sizes: the current one and the planned one.
 class Sizes : public testing::TestWithParam<std::size_t> {
 public:
-    /// Starts all, each knowing the others.
+    /// Starts all daemons with full knowledge of each other.
     static void settle(Network& network)
     {
         MembershipTest::build(network, GetParam());
@@ -19,14 +19,14 @@
     }
 };
 
-/// The bound on one daemon's control traffic.
+/// Upper bound of the control traffic of one daemon.
 constexpr double maxBytesPerSecond = 3000;
 
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleet, Sizes, testing::Values(8, 410));
 
-TEST_P(Sizes, AllStartAtOnceAndFindOneAnother)
+TEST_P(Sizes, ConvergesAfterSimultaneousStart)
 {
     Network network(12);
     MembershipTest::build(network, GetParam());
@@ -35,10 +35,10 @@
     ASSERT_TRUE(taken);
     RecordProperty("coldStartMs", static_cast<int>(taken->count()));
     RecordProperty("coldStartMostBytesPerSecond", static_cast<int>(network.bytesPerSecond(*taken).second));
-    EXPECT_EQ(network.takeWrongDeaths(), 0U);
+    EXPECT_EQ(network.takeFalseDeaths(), 0U);
 }
 
-TEST_P(Sizes, SteadyTrafficIsWithinTheBoundWithLoadsOnBoard)
+TEST_P(Sizes, SteadyTrafficWithLoadsIsWithinBound)
 {
     Network network(1);
     settle(network);
@@ -53,11 +53,11 @@
     RecordProperty("meanBytesPerSecond", static_cast<int>(rate.first));
     RecordProperty("mostBytesPerSecond", static_cast<int>(rate.second));
     EXPECT_LT(rate.second, maxBytesPerSecond);
-    EXPECT_EQ(network.takeWrongDeaths(), 0U);
+    EXPECT_EQ(network.takeFalseDeaths(), 0U);
     EXPECT_TRUE(network.isConverged());
 }
 
-TEST_P(Sizes, LoadsReachTheZoneAndSumsReachEveryone)
+TEST_P(Sizes, LoadsReachZoneAndZoneLoadsReachAll)
 {
     Network network(2);
     settle(network);
@@ -94,7 +94,7 @@
     EXPECT_LT(oldestSum, 60s);
 }
 
-TEST_P(Sizes, ALostVmIsDeadForAllAndNobodyElseIs)
+TEST_P(Sizes, OnlyALostVmIsDeclaredDead)
 {
     Network network(3);
     settle(network);
@@ -103,10 +103,10 @@
     ASSERT_TRUE(taken);
     RecordProperty("detectionMs", static_cast<int>(taken->count()));
     EXPECT_LT(*taken, 20s);
-    EXPECT_EQ(network.takeWrongDeaths(), 0U);
+    EXPECT_EQ(network.takeFalseDeaths(), 0U);
 }
 
-TEST_P(Sizes, ARestartIsNoticedByItsNewIncarnation)
+TEST_P(Sizes, RestartIsDetectedByNewIncarnation)
 {
     Network network(4);
     settle(network);
@@ -122,24 +122,24 @@
     EXPECT_TRUE(isNoticed);
 }
 
-TEST_P(Sizes, APausedMemberIsGivenUpAndRefutesWhenItWakes)
+TEST_P(Sizes, PausedMemberIsDeclaredDeadAndRefutesOnResume)
 {
     Network network(5);
     settle(network);
     network.pause(3);
     network.run(30s);
     EXPECT_TRUE(network.allSee(3, Status::Dead, { 3 }));
-    network.takeWrongDeaths();
+    network.takeFalseDeaths();
     network.wake(3);
     std::optional<std::chrono::milliseconds> const taken = network.runUntil([&] { return network.isConverged(); }, 30s);
     ASSERT_TRUE(taken);
     RecordProperty("refutedMs", static_cast<int>(taken->count()));
     network.run(20s);
-    EXPECT_EQ(network.takeWrongDeaths(), 0U); // The one that woke accused nobody for what it had missed.
+    EXPECT_EQ(network.takeFalseDeaths(), 0U); // The resumed daemon suspected no member because of its own pause.
     EXPECT_GT(network[3].protocol->self().version, 0U);
 }
 
-TEST_P(Sizes, AShortPauseKillsNobody)
+TEST_P(Sizes, ShortPauseCausesNoFalseDeaths)
 {
     Network network(6);
     settle(network);
@@ -147,7 +147,7 @@
     network.run(2500ms);
     network.wake(3);
     network.run(20s);
-    EXPECT_EQ(network.takeWrongDeaths(), 0U);
+    EXPECT_EQ(network.takeFalseDeaths(), 0U);
     EXPECT_TRUE(network.isConverged());
 }
 
@@ -160,7 +160,7 @@
     std::uint64_t const id = Membership::memberIdOf(network[2].profile.name);
     auto const isKnown = [&] {
         for (std::size_t by = 0; by < network.size(); ++by) {
-            if (by != 2 && network[by].protocol->table().find(id)->takesWork())
+            if (by != 2 && network[by].protocol->table().find(id)->acceptsWork())
                 return false;
         }
         return true;
@@ -169,14 +169,14 @@
     ASSERT_TRUE(taken);
     RecordProperty("leavingKnownMs", static_cast<int>(taken->count()));
     EXPECT_LE(*taken, 3s);
-    EXPECT_TRUE(network.allSee(2, Status::Alive)); // It still serves what it has.
+    EXPECT_TRUE(network.allSee(2, Status::Alive)); // It still serves its open requests.
     network.carryOut(2, network[2].protocol->leave(network.now()));
-    network.run(50ms); // Its last messages leave before the process ends.
+    network.run(50ms); // Lets its last messages be sent before the process ends.
     network.kill(2, true);
     EXPECT_TRUE(network.runUntil([&] { return network.allSee(2, Status::Left); }, 3s));
 }
 
-TEST_P(Sizes, ADaemonCutOffReportsItAndDeclaresNobodyDead)
+TEST_P(Sizes, IsolatedDaemonReportsItAndDeclaresNoMemberDead)
 {
     Network network(8);
     settle(network);
@@ -185,14 +185,14 @@
     EXPECT_TRUE(network[4].protocol->isIsolated(network.now()));
     EXPECT_FALSE(network[0].protocol->isIsolated(network.now()));
     for (std::size_t of = 0; of < network.size(); ++of)
-        EXPECT_TRUE(of == 4 || network.statusOf(of, 4) == Status::Alive); // What was last known stands.
+        EXPECT_TRUE(of == 4 || network.statusOf(of, 4) == Status::Alive); // The isolated daemon keeps the last known state.
     EXPECT_TRUE(network.allSee(4, Status::Dead, { 4 }));
     network.isCut = nullptr;
     EXPECT_TRUE(network.runUntil([&] { return network.isConverged(); }, 60s));
     EXPECT_FALSE(network[4].protocol->isIsolated(network.now()));
 }
 
-TEST_P(Sizes, ADaemonCutInOneDirectionIsGivenUpAndKnowsIt)
+TEST_P(Sizes, DaemonWithOneWayPartitionIsDeclaredDeadAndDetectsIsolation)
 {
     for (bool const canSend : { true, false }) {
         Network network(9);
@@ -206,44 +206,44 @@
     }
 }
 
-TEST_P(Sizes, ALinkDownBetweenTwoHarmsNeither)
+TEST_P(Sizes, BrokenLinkBetweenTwoMembersCausesNoFalseDeaths)
 {
     Network network(10);
     settle(network);
-    std::uint64_t const watched = network[0].protocol->contacts().front();
+    std::uint64_t const probed = network[0].protocol->neighbours().front();
     std::size_t other = 0;
-    while (Membership::memberIdOf(network[other].profile.name) != watched)
+    while (Membership::memberIdOf(network[other].profile.name) != probed)
         ++other;
     network.isCut = [other](std::size_t from, std::size_t to) { return from == other && to == 0; };
     network.run(30s);
-    EXPECT_EQ(network.takeWrongDeaths(), 0U);
-    EXPECT_TRUE(network[0].protocol->isLinkDown(watched));
+    EXPECT_EQ(network.takeFalseDeaths(), 0U);
+    EXPECT_TRUE(network[0].protocol->isLinkDown(probed));
     network.isCut = nullptr;
     network.run(10s);
-    EXPECT_FALSE(network[0].protocol->isLinkDown(watched));
+    EXPECT_FALSE(network[0].protocol->isLinkDown(probed));
     EXPECT_TRUE(network.isConverged());
 }
 
-TEST_P(Sizes, TheVmListMayLag)
+TEST_P(Sizes, ToleratesStaleVmList)
 {
     Network network(11);
     settle(network);
-    // A newcomer that no list has yet, itself knowing only two others.
-    std::size_t const newcomer = network.add("entry-new", "zone-1", "region-0");
+    // A new daemon that is in no VM list yet and knows only two others.
+    std::size_t const newDaemon = network.add("entry-new", "zone-1", "region-0");
     std::vector<Membership::ListedVm> const full = network.list;
     network.list.resize(2);
-    network.start(newcomer);
+    network.start(newDaemon);
     EXPECT_TRUE(network.runUntil([&] { return network.isConverged(); }, 30s));
-    EXPECT_EQ(network[7].protocol->table().find(Membership::memberIdOf("entry-new"))->profile, network[newcomer].profile);
-    // Gone from the list and yet alive; and leaving by the list alone.
+    EXPECT_EQ(network[7].protocol->table().find(Membership::memberIdOf("entry-new"))->profile, network[newDaemon].profile);
+    // One daemon is removed from the list but alive, another is leaving according to the list only.
     network.list = full;
     network.list.erase(network.list.begin() + 6);
     network.list[1].isLeaving = true;
     network.publishList();
     network.run(10s);
     EXPECT_TRUE(network.isConverged());
-    EXPECT_FALSE(network[3].protocol->table().find(Membership::memberIdOf("entry-1"))->takesWork());
-    // Dead and gone from the list: forgotten. Dead and listed: kept, since it may come back.
+    EXPECT_FALSE(network[3].protocol->table().find(Membership::memberIdOf("entry-1"))->acceptsWork());
+    // Dead members that are not in the list are removed. Dead members in the list are kept, since they may return.
     network.kill(6);
     network.kill(2);
     network.run(200s);
--- a/Tests/LibMembership/TestSchedules.cpp
+++ b/Tests/LibMembership/TestSchedules.cpp
@@ -76,7 +76,7 @@
 
 }
 
-RC_GTEST_PROP(Schedules, AfterAnyFaultsAllAgreeAgain, ())
+RC_GTEST_PROP(Schedules, ConvergesAfterArbitraryFaults, ())
 {
     Network network(*rc::gen::inRange<std::uint64_t>(0, 1'000'000));
     MembershipTest::build(network, 9);
@@ -85,7 +85,7 @@
     network.startAll();
     for (Step const& step : *rc::gen::container<std::vector<Step>>(steps()))
         act(network, step, cuts);
-    // Everything heals: the list is whole, cuts and losses end, the paused wake. The dead stay dead.
+    // All faults end: the list is complete, partitions and loss stop, paused daemons resume. Stopped daemons stay down.
     cuts.clear();
     network.loss = 0;
     for (std::size_t i = 0; i < network.size(); ++i) {
--- a/Tests/LibMembership/TestStorms.cpp
+++ b/Tests/LibMembership/TestStorms.cpp
@@ -21,7 +21,7 @@
 
 }
 
-TEST(Storms, AWholeZoneIsLostAndComesBackAtOnce)
+TEST(Storms, ZoneFailsAndReturnsAtOnce)
 {
     Network network(21);
     settle(network, 410);
@@ -31,7 +31,7 @@
     std::optional<std::chrono::milliseconds> const lost = network.runUntil([&] { return network.isConverged(); }, 90s);
     ASSERT_TRUE(lost);
     std::pair<double, double> const rateLost = network.bytesPerSecond(*lost);
-    EXPECT_EQ(network.takeWrongDeaths(), 0U);
+    EXPECT_EQ(network.takeFalseDeaths(), 0U);
     network.clearBytes();
     for (std::size_t i = 4; i < network.size(); i += 11)
         network.start(i);
@@ -42,10 +42,10 @@
     RecordProperty("zoneLostMostBytesPerSecond", static_cast<int>(rateLost.second));
     RecordProperty("zoneBackMs", milliseconds(back));
     RecordProperty("zoneBackMostBytesPerSecond", static_cast<int>(rateBack.second));
-    EXPECT_EQ(network.takeWrongDeaths(), 0U);
+    EXPECT_EQ(network.takeFalseDeaths(), 0U);
 }
 
-TEST(Storms, RegionsThatLostEachOtherForMinutesFindEachOther)
+TEST(Storms, RegionsRejoinAfterLongPartition)
 {
     Network network(22);
     settle(network, 410);
@@ -54,13 +54,13 @@
     network.run(100s);
     EXPECT_FALSE(network[0].protocol->isIsolated(network.now()));
     for (std::size_t of = 0; of < network.size(); ++of) {
-        std::size_t const by = isFirst(of) ? 11 : 4; // One of the same side.
+        std::size_t const by = isFirst(of) ? 11 : 4; // A daemon on the same side of the partition.
         if (of != by) {
             EXPECT_EQ(network.statusOf(of, by), Status::Alive);
         }
     }
     EXPECT_EQ(network.statusOf(0, 4), Status::Dead);
-    network.takeWrongDeaths();
+    network.takeFalseDeaths();
     network.isCut = nullptr;
     network.clearBytes();
     std::optional<std::chrono::milliseconds> const healed = network.runUntil([&] { return network.isConverged(); }, 180s);
@@ -69,12 +69,12 @@
     RecordProperty("healedMs", milliseconds(healed));
     RecordProperty("healMeanBytesPerSecond", static_cast<int>(rate.first));
     RecordProperty("healMostBytesPerSecond", static_cast<int>(rate.second));
-    RecordProperty("wrongDeathsDuringHeal", static_cast<int>(network.takeWrongDeaths()));
+    RecordProperty("wrongDeathsDuringHeal", static_cast<int>(network.takeFalseDeaths()));
     network.run(30s);
     EXPECT_TRUE(network.isConverged());
 }
 
-TEST(Storms, AVmReplacedAtTheSameAddressIsANewDaemon)
+TEST(Storms, ReplacementVmAtSameAddressIsANewDaemon)
 {
     Network network(23);
     settle(network, 8);
@@ -89,7 +89,7 @@
     EXPECT_TRUE(!former || former->record.status == Status::Dead);
 }
 
-TEST(Storms, AnEarlierProcessWithTheSameNameLearnsThatItIsSuperseded)
+TEST(Storms, EarlierProcessWithSameNameDetectsThatItIsSuperseded)
 {
     Network network(24);
     settle(network, 8);
@@ -108,8 +108,8 @@
     EXPECT_EQ(network[0].protocol->table().find(Membership::memberIdOf("entry-5"))->record.status, Status::Alive);
 }
 
-// Found by TestSchedules: one daemon's only contact was dead, so nobody's answer ever confirmed the suspicion.
-TEST(Storms, TwoThatDieDuringTheStartAreFound)
+// Found by TestSchedules: the only neighbour of a daemon was dead, so no answer from another member confirmed the suspicion.
+TEST(Storms, TwoFailuresDuringStartupAreDetected)
 {
     Network network(0);
     MembershipTest::build(network, 9);
@@ -121,7 +121,7 @@
     EXPECT_TRUE(network.isConverged());
 }
 
-TEST(Storms, HeavyLossKillsNobodyForLong)
+TEST(Storms, ConvergesAfterHeavyLoss)
 {
     Network network(25);
     settle(network, 8);
@@ -131,11 +131,11 @@
     EXPECT_TRUE(network.runUntil([&] { return network.isConverged(); }, 60s));
 }
 
-TEST(Storms, LossThatStopsManyProbesKillsNobody)
+TEST(Storms, LossOfManyProbesCausesNoFalseDeaths)
 {
     Network network(26);
     settle(network, 410);
     network.loss = 0.05;
     network.run(60s);
-    EXPECT_EQ(network.takeWrongDeaths(), 0U);
+    EXPECT_EQ(network.takeFalseDeaths(), 0U);
 }
