--- a/Libraries/LibRequest/AnswerStore.cpp
+++ b/Libraries/LibRequest/AnswerStore.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// What the tables take for one answer beside its bytes, rounded up.
+/// Table overhead of one answer in bytes, rounded up.
 constexpr std::uint64_t fixedBytes = 384;
 
 }
@@ -22,7 +22,7 @@
     std::optional<std::multimap<TimePoint, TicketNonce>::iterator> expiry;
 };
 
-/// What one organisation holds.
+/// The answers of one organisation.
 struct AnswerStore::Holder {
     std::string organisation;
     std::uint64_t bytes { 0 };
@@ -42,9 +42,9 @@
 Core::Result<AnswerStore> AnswerStore::create(Limits limits)
 {
     if (limits.maxBytes == 0 || limits.maxAnswerBytes == 0 || limits.maxAnswers == 0 || limits.keepFor.count() <= 0)
-        return Core::fail(Core::ErrorCode::BadInput, "The limits of kept answers must be more than 0.");
+        return Core::fail(Core::ErrorCode::BadInput, "The limits of stored answers must be greater than 0.");
     if (limits.maxAnswerBytes > UINT32_MAX)
-        return Core::fail(Core::ErrorCode::BadInput, "A kept answer has less than 4 GiB.");
+        return Core::fail(Core::ErrorCode::BadInput, "A stored answer must be smaller than 4 GiB.");
     return AnswerStore(limits);
 }
 
@@ -157,7 +157,7 @@
     return result;
 }
 
-/// Sets what an answer counts for, and keeps the order of the holders.
+/// Sets the number of bytes charged for an answer and updates the order of the holders.
 void AnswerStore::account(Answer& answer, std::uint64_t bytes)
 {
     if (bytes == answer.accounted)
--- a/Libraries/LibRequest/AnswerStore.h
+++ b/Libraries/LibRequest/AnswerStore.h
@@ -15,15 +15,15 @@
 
 namespace Request {
 
-/// How a kept answer ended.
+/// The outcome of a stored answer.
 struct AnswerEnd {
     Core::Verdict verdict { Core::Verdict::NotRun };
-    std::optional<Core::Error> error; ///< Without one the answer is whole.
+    std::optional<Core::Error> error; ///< Empty if the answer is complete.
 
     bool operator==(AnswerEnd const&) const = default;
 };
 
-/// Where a reader goes on.
+/// The position at which a reader resumes.
 struct AnswerOffset {
     enum class Unit : std::uint8_t { Pieces,
         Bytes };
@@ -31,15 +31,15 @@
     std::uint64_t value { 0 };
 };
 
-/// What a reader gets: some bytes, and the end once all before it has been read.
+/// The result of a read: some bytes, and the outcome once everything before it has been read.
 struct AnswerPart {
     std::string bytes;
     std::uint64_t nextPiece { 0 }; ///< Read from here next (unit: pieces).
-    std::uint64_t nextByte { 0 }; ///< The same place in bytes.
+    std::uint64_t nextByte { 0 }; ///< The same position in bytes.
     std::optional<AnswerEnd> end;
 };
 
-/// An answer that was given up to stay within the bounds.
+/// An answer that was evicted to stay within the limits, or that expired.
 struct DroppedAnswer {
     TicketNonce ticket {};
     std::string organisation;
@@ -47,16 +47,16 @@
     bool wasRunning { false };
 };
 
-/// Keeps the answers of requests with tickets until they are collected or expire, in bounded memory that is fair
-/// between organisations: over a bound, the organisation that holds the most loses its oldest ended answer, or
-/// its oldest running one. A dropped answer is never read in part. Not thread-safe.
+/// Stores the answers of requests with tickets until they are collected or expire. Memory is bounded and shared fairly
+/// between organisations: over a limit, the organisation that holds the most bytes loses its oldest ended answer, or
+/// its oldest running one if none has ended. A dropped answer is never read in part. Not thread-safe.
 class AnswerStore {
 public:
     struct Limits {
-        std::uint64_t maxBytes { 16U << 20U }; ///< Answers' bytes and their index, in all.
-        std::uint64_t maxAnswerBytes { 4U << 20U }; ///< Of one answer.
+        std::uint64_t maxBytes { 16U << 20U }; ///< Total for all answers, including their indexes.
+        std::uint64_t maxAnswerBytes { 4U << 20U }; ///< Per answer.
         std::size_t maxAnswers { 20'000 };
-        std::chrono::milliseconds keepFor { std::chrono::minutes(5) }; ///< After the end.
+        std::chrono::milliseconds keepFor { std::chrono::minutes(5) }; ///< Counted from the end of the answer.
     };
 
     /// Errors: BadInput when a limit is 0.
@@ -73,13 +73,13 @@
     void finish(TicketNonce const&, AnswerEnd, TimePoint now);
 
     /// Reads whole pieces, at most `maxBytes` (but one piece at least); a byte offset may start inside a piece.
-    /// Errors: NotFound (not kept or dropped, may have run), BadInput (beyond what there is).
+    /// Errors: NotFound (not kept or dropped, may have run), BadInput (offset past the end).
     Core::Result<AnswerPart> read(TicketNonce const&, AnswerOffset, std::uint64_t maxBytes) const;
 
-    /// Forgets an answer that its caller has collected whole.
+    /// Removes an answer that its caller has read completely.
     void remove(TicketNonce const&);
 
-    /// Drops ended answers whose time is over and returns them.
+    /// Drops ended answers whose retention time has passed and returns them.
     std::vector<DroppedAnswer> expire(TimePoint now);
 
     bool contains(TicketNonce const&) const;
--- a/Libraries/LibRequest/Fingerprint.h
+++ b/Libraries/LibRequest/Fingerprint.h
@@ -9,7 +9,7 @@
 
 namespace Request {
 
-/// 128 bits that stand for one request's method, target and body.
+/// 128-bit hash of a request's method, target and body.
 struct Fingerprint {
     std::uint64_t low { 0 };
     std::uint64_t high { 0 };
@@ -26,7 +26,7 @@
 /// Returns 32 hexadecimal digits. Thread-safe.
 std::string toString(Fingerprint const&);
 
-/// Reads the form of `toString`; nothing for any other text. Thread-safe.
+/// Parses the output of `toString`; returns nothing for any other text. Thread-safe.
 std::optional<Fingerprint> fingerprintFrom(std::string_view text);
 
 }
--- a/Libraries/LibRequest/Home.h
+++ b/Libraries/LibRequest/Home.h
@@ -6,8 +6,8 @@
 
 namespace Request {
 
-/// What a daemon keeps as the home of tickets: which were sent, and the answers. The two bounds are apart, so
-/// dropping an answer never lets its request run again. Not thread-safe: one mutex around it.
+/// The state of a daemon as the home of tickets: which tickets were used, and the answers. The two have separate limits,
+/// so dropping an answer never lets its request run again. Not thread-safe: guard it with one mutex.
 class Home {
 public:
     /// Errors: as `AnswerStore::create` and `OnceTable::create`.
@@ -15,26 +15,26 @@
 
     struct Begun {
         OnceDecision decision { OnceDecision::Run };
-        std::vector<DroppedAnswer> dropped; ///< Given up to make room; log them.
+        std::vector<DroppedAnswer> dropped; ///< Evicted to make room; log them.
     };
 
     /// Decides on a send (see `OnceTable::begin`) and opens its answer when it is to run.
     Core::Result<Begun> begin(Ticket const&, Fingerprint const&, std::string_view organisation, TimePoint now);
 
-    /// Keeps a piece that the machine delivered. Returns what was dropped for it.
+    /// Stores a piece that the machine delivered. Returns the answers evicted for it.
     std::vector<DroppedAnswer> append(TicketNonce const&, std::uint64_t position, std::string_view bytes);
 
-    /// Keeps the machine's `Finish`.
+    /// Stores the outcome from the machine's `Finish`.
     void finish(TicketNonce const&, AnswerEnd, TimePoint now);
 
     /// Reads a kept answer. Errors: NotFound with the request's own verdict when the answer is no longer kept, as
-    /// `AnswerStore::read` else. Precondition: whoever asks showed the ticket and it passed `verify`.
+    /// `AnswerStore::read` else. Precondition: the reader presented the ticket and it passed `verify`.
     Core::Result<AnswerPart> read(TicketNonce const&, AnswerOffset, std::uint64_t maxBytes) const;
 
-    /// Notes that the caller has the whole answer; it may be forgotten.
+    /// Removes the stored answer because the caller has received all of it.
     void collected(TicketNonce const&);
 
-    /// Forgets expired tickets and answers; returns those answers. Call about once a second.
+    /// Removes expired tickets and answers; returns those answers. Call about once a second.
     std::vector<DroppedAnswer> expire(TimePoint now);
 
     std::uint64_t keptBytes() const { return m_answers.bytes(); }
--- a/Libraries/LibRequest/OnceTable.cpp
+++ b/Libraries/LibRequest/OnceTable.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Rounded up, so that nothing is forgotten early.
+/// Rounds up, so that no entry expires early.
 std::int64_t secondOf(TimePoint time)
 {
     return std::chrono::ceil<std::chrono::seconds>(time.time_since_epoch()).count();
@@ -17,7 +17,7 @@
 Core::Result<OnceTable> OnceTable::create(Settings settings)
 {
     if (settings.ticketLifetime.count() <= 0 || settings.keepAfterEnd.count() <= 0 || settings.maxTickets == 0 || settings.maxTicketsPerOrganisation == 0)
-        return Core::fail(Core::ErrorCode::BadInput, "The tickets' lifetime and number must be more than 0.");
+        return Core::fail(Core::ErrorCode::BadInput, "The lifetimes and maximum numbers of tickets must be greater than 0.");
     return OnceTable(settings);
 }
 
@@ -29,7 +29,7 @@
 Core::Result<OnceDecision> OnceTable::begin(Ticket const& ticket, Fingerprint const& fingerprint, std::string_view organisation, TimePoint now)
 {
     expire(now);
-    // What was forgotten by a later time must not run by an earlier one.
+    // An entry that expired at a later time must not run again at an earlier one.
     now = m_now;
     auto it = m_entries.find(ticket.nonce);
     if (it != m_entries.end()) {
@@ -37,7 +37,7 @@
             return Core::fail(Core::ErrorCode::Conflict, "The ticket was used for another request; this one was not run.");
         return it->second.isRunning ? OnceDecision::Join : OnceDecision::Replay;
     }
-    // Whether an expired ticket was used can't be known once it may have been forgotten.
+    // Once the entry of an expired ticket may have been removed, it is unknown whether the ticket was used.
     TimePoint expiry = ticket.issuedAt + m_settings.ticketLifetime;
     if (expiry <= now) {
         return boost::outcome_v2::failure(Core::makeUncertainError(Core::ErrorCode::Timeout,
@@ -56,7 +56,7 @@
     return OnceDecision::Run;
 }
 
-/// A refusal for want of room leaves no trace of its ticket, so a copy that comes later must be refused as well: all
+/// A refusal for lack of capacity stores no entry, so a duplicate that arrives later must be refused as well: all
 /// unseen tickets as old as the refused one are.
 bool OnceTable::isRefusedForRoom(Ticket const& ticket, Organisations::iterator owner)
 {
@@ -115,7 +115,7 @@
         m_expiries.erase(m_expiries.begin());
         for (TicketNonce const& nonce : due) {
             auto it = m_entries.find(nonce);
-            // What still runs is looked at again later; it is never forgotten before it ends.
+            // A running request is checked again later; its entry is never removed before it ends.
             if (it->second.isRunning) {
                 schedule(nonce, m_now + m_settings.keepAfterEnd);
             } else if (it->second.expiresAt > m_now) {
--- a/Libraries/LibRequest/OnceTable.h
+++ b/Libraries/LibRequest/OnceTable.h
@@ -14,11 +14,11 @@
 
 namespace Request {
 
-/// What the home does with a request that came with one of its tickets.
+/// How the home handles a request that carries one of its tickets.
 enum class OnceDecision : std::uint8_t {
     Run, ///< First send: run it, then call `finish`.
-    Join, ///< It is running: follow its answer.
-    Replay, ///< It ended: give the kept answer, or say its verdict when the answer is no longer kept.
+    Join, ///< It is running: attach to its answer.
+    Replay, ///< It ended: return the stored answer, or its verdict if the answer is no longer stored.
 };
 
 inline constexpr Core::EnumNames<OnceDecision, 3> onceDecisionNames { {
@@ -27,41 +27,41 @@
     { OnceDecision::Replay, "replay" },
 } };
 
-/// Remembers at the home which tickets were sent, for as long as they may be sent, so that a repeat never runs
-/// again. When it is full new sends are refused; nothing is forgotten early. Not thread-safe.
+/// Records at the home which tickets were used, for as long as they are valid, so that a duplicate never runs
+/// again. When the table is full, new tickets are refused; no entry is evicted early. Not thread-safe.
 class OnceTable {
 public:
     struct Settings {
         std::chrono::milliseconds ticketLifetime { std::chrono::minutes(10) };
         std::chrono::milliseconds keepAfterEnd { std::chrono::minutes(5) }; ///< As long as answers are kept.
         std::size_t maxTickets { 200'000 };
-        std::size_t maxTicketsPerOrganisation { 50'000 }; ///< So that one can't use up the table.
+        std::size_t maxTicketsPerOrganisation { 50'000 }; ///< Keeps one organisation from filling the table.
     };
 
     /// Errors: BadInput when a setting is 0.
     static Core::Result<OnceTable> create(Settings);
 
-    /// Decides on a send. Precondition: the ticket passed `TicketIssuer::verify`. A time before one that was handed in
-    /// already counts as that one: threads may read the clock in another order than they come here.
+    /// Decides on a send. Precondition: the ticket passed `TicketIssuer::verify`. A time earlier than one passed
+    /// before counts as that one: threads may read the clock in a different order than they call this.
     /// Errors: Conflict (not run: another request has this ticket), Timeout (may have run: expired and no longer
     /// remembered), Overloaded (not run: the table or the organisation's part of it is full, or this ticket is older
     /// than a refusal for that reason; a fresh ticket is needed).
     Core::Result<OnceDecision> begin(Ticket const&, Fingerprint const&, std::string_view organisation, TimePoint now);
 
-    /// Notes the final verdict of a request that `begin` let run. A ticket told 'not run' never runs later either.
+    /// Records the final verdict of a request that `begin` let run. A ticket reported as 'not run' never runs later either.
     void finish(TicketNonce const&, Core::Verdict, TimePoint now);
 
     /// Returns the final verdict, or nothing while it runs or when it is unknown here.
     std::optional<Core::Verdict> verdictOf(TicketNonce const&) const;
 
-    /// Forgets what may be forgotten by now; `begin` does so too.
+    /// Removes expired entries; `begin` does so too.
     void expire(TimePoint now);
 
     std::size_t size() const { return m_entries.size(); }
 
 private:
-    /// What an organisation has of the table. Kept while it has tickets, and as long after a refusal as the refused
-    /// ticket could still be sent.
+    /// An organisation's usage of the table. Kept while it has tickets, and after a refusal for as long as the refused
+    /// ticket is valid.
     struct Organisation {
         std::size_t tickets { 0 };
         std::optional<TimePoint> refusedBefore; ///< Its unseen tickets issued up to here never run.
@@ -88,7 +88,7 @@
     Organisations m_organisations;
     std::map<std::int64_t, std::vector<TicketNonce>> m_expiries; ///< By second of expiry, rounded up.
     std::multimap<TimePoint, std::string> m_refusalExpiries; ///< Organisations with a `refusedBefore`.
-    TimePoint m_now; ///< The latest time handed in.
+    TimePoint m_now; ///< The latest time passed in.
     std::optional<TimePoint> m_refusedBefore; ///< Unseen tickets issued up to here never run.
 };
 
--- a/Libraries/LibRequest/RequestAction.h
+++ b/Libraries/LibRequest/RequestAction.h
@@ -12,7 +12,7 @@
 
 namespace Request {
 
-/// Choose a target outside `excluded`, report `TargetPicked` or `NoTarget`, connect (a new connection or a kept
+/// Choose a target outside `excluded`, report `TargetPicked` or `NoTarget`, connect (a new connection or a pooled
 /// one) and report `Connected` or `ConnectFailed`, with connection 1. Write nothing yet.
 struct Dispatch {
     std::uint32_t attempt { 0 };
@@ -25,11 +25,11 @@
     std::vector<std::string> excluded;
     std::uint64_t delivered { 0 };
 };
-/// Write the request now on this connection, at once: the decision to run has been made.
+/// Write the request now on this connection, without delay: the decision to run has been made.
 struct WriteRequest {
     Leg leg;
 };
-/// After `delay`, connect anew to `target` and ask for the attempt's stream from piece `from` on. Report
+/// After `delay`, reconnect to `target` and request the attempt's stream from piece `from` on. Report
 /// `ResumeAccepted`, `ResumeUnknown` or `ConnectFailed`.
 struct Resume {
     Leg leg;
@@ -49,12 +49,12 @@
     std::uint32_t attempt { 0 };
     int status { 0 };
 };
-/// Send (and keep) a piece. `position` counts the whole answer's pieces from 0 without gap or repeat.
+/// Send (and store) a piece. `position` numbers the pieces of the whole answer from 0, without gaps or duplicates.
 struct DeliverPiece {
     std::uint64_t position { 0 };
     std::string bytes;
 };
-/// The one final answer. Without `error` the answer delivered so far is whole.
+/// The one final answer. Without `error`, the answer delivered so far is complete.
 struct Finish {
     Core::Verdict verdict { Core::Verdict::NotRun };
     std::optional<Core::Error> error;
@@ -63,7 +63,7 @@
 
 using RequestAction = std::variant<Dispatch, Continue, WriteRequest, Resume, CancelAtTarget, DeliverHead, DeliverPiece, Finish>;
 
-/// What to do, in this order. Start each one without waiting for it: a `Finish` after a cancel goes out at once.
+/// Actions to start in this order, without waiting for one to complete: a `Finish` after a cancel is sent immediately.
 using RequestActions = boost::container::small_vector<RequestAction, 2>;
 
 }
--- a/Libraries/LibRequest/RequestEvent.h
+++ b/Libraries/LibRequest/RequestEvent.h
@@ -17,11 +17,11 @@
     bool operator==(Leg const&) const = default;
 };
 
-/// What a target answered to a cancel.
+/// A target's reply to a cancel.
 enum class CancelOutcome : std::uint8_t {
     Canceled, ///< It was running and has been stopped.
-    Finished, ///< It had run to its end.
-    NeverSeen, ///< Whoever answered has not seen it and will refuse it later.
+    Finished, ///< It had already finished.
+    NeverSeen, ///< The replying process has not seen it and will refuse it later.
     Unknown, ///< No answer.
 };
 
@@ -32,9 +32,9 @@
     { CancelOutcome::Unknown, "unknown" },
 } };
 
-/// Admission let the request through.
+/// Admission control accepted the request.
 struct Admitted { };
-/// Admission refused it or its time in the queue ran out. `error` must say not run.
+/// Admission control refused it or it timed out in the queue. The verdict of `error` must be 'not run'.
 struct Refused {
     Core::Error error;
     std::chrono::milliseconds retryAfter { 0 };
@@ -50,39 +50,39 @@
     Core::Error error;
     std::chrono::milliseconds retryAfter { 0 };
 };
-/// A connection stands and nothing has been written on it. Write only if the answer is `WriteRequest`.
+/// A connection is open and nothing has been written on it. Write only if the answer is `WriteRequest`.
 struct Connected {
     Leg leg;
-    std::string targetIncarnation {}; ///< The target's incarnation as it was read at any time before; empty: unknown.
+    std::string targetIncarnation {}; ///< The target's incarnation, read at any time before; empty: unknown.
 };
-/// No connection, or the first write certainly wrote nothing.
+/// Connecting failed, or the first write is known to have written nothing.
 struct ConnectFailed {
     Leg leg;
     bool isUnsent { true }; ///< Nothing at all reached a target; false: a target was asked to prepare the run, and did not.
-    bool keepsPrompt { false }; ///< What was computed of the prompt is kept for the next attempt.
+    bool keepsPrompt { false }; ///< The computed part of the prompt is kept for the next attempt.
 };
-/// The attempt's prompt was handed to a target that computes it apart from its output, and was computed, or may have been.
+/// The attempt's prompt was sent to a target for prefill separate from decoding, and was or may have been computed.
 struct PromptComputed {
     std::uint32_t attempt { 0 };
 };
-/// The target said explicitly that it did not run the request.
+/// The target stated explicitly that it did not run the request.
 struct TargetRefused {
     Leg leg;
-    bool keepsPrompt { false }; ///< What was computed of the prompt is kept for the next attempt.
+    bool keepsPrompt { false }; ///< The computed part of the prompt is kept for the next attempt.
 };
 /// The status line and headers of the answer came.
 struct ResponseHead {
     Leg leg;
     int status { 0 };
 };
-/// A part of the answer. `index` counts the attempt's pieces from 0, on whatever connection they come.
+/// A part of the answer. `index` counts the attempt's pieces from 0, across its connections.
 struct Piece {
     Leg leg;
     std::uint64_t index { 0 };
     std::string bytes;
-    bool endsEvent { false }; ///< The piece ends a whole server-sent event.
+    bool endsEvent { false }; ///< The piece ends at the boundary of a server-sent event.
 };
-/// The answer ended as its framing says (length, last chunk, [DONE]) after `count` pieces of the attempt.
+/// The answer ended according to its framing (length, last chunk, [DONE]) after `count` pieces of the attempt.
 struct StreamEnded {
     Leg leg;
     std::uint64_t count { 0 };
@@ -95,7 +95,7 @@
 struct SilentConnection {
     Leg leg;
 };
-/// The target goes on with the stream on this new connection.
+/// The target resumes the stream on this new connection.
 struct ResumeAccepted {
     Leg leg;
 };
@@ -108,7 +108,7 @@
 struct CancelAcknowledged {
     std::uint32_t attempt { 0 };
     CancelOutcome outcome { CancelOutcome::Unknown };
-    std::string targetIncarnation {}; ///< Of who answered, read with the answer or after it; empty: unknown.
+    std::string targetIncarnation {}; ///< Of the replying process, read with the reply or after it; empty: unknown.
 };
 /// A home's final answer to an entry that forwarded to it: the error and verdict that the caller gets.
 struct HomeAnswered {
@@ -120,10 +120,10 @@
 struct CallerGone { };
 /// The deadline passed.
 struct DeadlineReached { };
-/// The daemon has to end before the request does.
+/// The daemon has to exit before the request ends.
 struct ShutdownForced { };
 
-/// Everything that can happen to a request.
+/// All events that the request machine handles.
 using RequestEvent = std::variant<Admitted, Refused, TargetPicked, PromptComputed, NoTarget, Connected, ConnectFailed, TargetRefused,
     ResponseHead, Piece, StreamEnded, StreamBroken, SilentConnection, ResumeAccepted, ResumeUnknown,
     CancelAcknowledged, HomeAnswered, CallerGone, DeadlineReached, ShutdownForced>;
--- a/Libraries/LibRequest/RequestMachine.cpp
+++ b/Libraries/LibRequest/RequestMachine.cpp
@@ -11,7 +11,7 @@
 constexpr std::chrono::milliseconds firstDelay { 100 };
 constexpr std::uint32_t mostDoublings = 5;
 
-/// The wait before the try that follows `failures` failed ones of the same target.
+/// The delay before a retry of the same target after `failures` failures.
 std::chrono::milliseconds delayAfter(std::uint32_t failures)
 {
     if (failures == 0)
@@ -61,7 +61,7 @@
     return leg.attempt == m_attempt && leg.connection == m_connection;
 }
 
-/// Whether pieces of the current attempt count. A resumed stream has the same pieces on each connection.
+/// Whether pieces of the current attempt are accepted. A resumed stream has the same pieces on each connection.
 bool RequestMachine::isAnswering() const
 {
     return m_phase == Phase::AwaitingHead || m_phase == Phase::Streaming || m_phase == Phase::Resuming;
@@ -104,7 +104,7 @@
 {
     if (m_phase != Phase::Connecting || !isCurrent(event.leg))
         return;
-    // A daemon that was paused here must not start work whose caller has given up.
+    // A daemon that was paused here must not start work after its caller has timed out.
     if (now >= m_profile.deadline) {
         finishWith(Core::ErrorCode::Timeout, "The deadline passed before a target was reached.");
         return;
@@ -154,7 +154,7 @@
     m_status = event.status;
     if (m_phase == Phase::AwaitingHead)
         m_phase = Phase::Streaming;
-    // The head that the caller has promises the answer of the first attempt: an error can't follow it.
+    // The caller already has the head of the first attempt's answer: an error head can't follow it.
     if (m_headDelivered && event.status != okStatus) {
         attemptLost(now);
         return;
@@ -189,7 +189,7 @@
         finishWhole();
         return;
     }
-    // Pieces are missing. On a former connection that is what the resume is about already.
+    // Pieces are missing. For a former connection, a resume is already in progress.
     if (isCurrent(event.leg))
         connectionLost(now);
 }
@@ -226,8 +226,8 @@
 {
     if (m_phase != Phase::Fencing || event.attempt != m_attempt)
         return;
-    // An incarnation does not come back: if the one that was known before the write answers after it, no other one
-    // can have got the request.
+    // An incarnation never reappears: if the one known before the write answers after it, no other one can have
+    // received the request.
     bool isSameTarget = !m_targetIncarnation.empty() && event.targetIncarnation == m_targetIncarnation;
     if (event.outcome != CancelOutcome::NeverSeen || !isSameTarget) {
         finishWith(Core::ErrorCode::Unavailable, "The target was lost after the request had been sent to it.");
@@ -241,7 +241,7 @@
 {
     if (!m_profile.goesToHome || event.leg.attempt != m_attempt || !isAnswering())
         return;
-    // The home speaks for every send of the ticket. Only what was delivered to this caller can contradict it.
+    // The home's verdict covers every send of the ticket. Only pieces already delivered to this caller can contradict it.
     Core::Error error = std::move(event.error);
     if (m_delivered > 0)
         error.verdict = Core::combine(error.verdict, Core::Verdict::MayHaveRun);
@@ -272,7 +272,7 @@
     finishWith(Core::ErrorCode::Unavailable, "The daemon had to stop before the request ended.");
 }
 
-/// The connection ended or is dead while an answer was due on it.
+/// The connection ended or is dead before the answer was complete.
 void RequestMachine::connectionLost(TimePoint now)
 {
     if (m_profile.canResume && m_resumes < m_profile.maxResumes && now < m_profile.deadline) {
@@ -291,7 +291,7 @@
     act(Resume { Leg { m_attempt, m_connection }, m_target, m_delivered - m_base, delay });
 }
 
-/// The attempt can't be brought to its end: run again, go on elsewhere, ask whether it ran, or give up.
+/// The attempt can't be completed: retries it, continues on another target, asks whether it ran, or fails the request.
 void RequestMachine::attemptLost(TimePoint now)
 {
     constexpr std::string_view message = "The target was lost after the request had been sent to it.";
@@ -350,8 +350,8 @@
     startAttempt(now);
 }
 
-/// Takes what another attempt may send from the budget. Targets that share an allowance count each send beyond a request's
-/// first, so that a prompt which is computed once more is one, and its run another.
+/// Takes the sends of another attempt from the budget. Targets that share an allowance count each send beyond a request's
+/// first, so recomputing a prompt is one send and the run is another.
 bool RequestMachine::mayRetry(TimePoint now)
 {
     return m_attempt - m_unsent < m_profile.maxAttempts && m_budget->take(now, 1 + repeatedPrompts());
--- a/Libraries/LibRequest/RequestMachine.h
+++ b/Libraries/LibRequest/RequestMachine.h
@@ -10,24 +10,24 @@
 
 namespace Request {
 
-/// What may be done with a request; decided once, from its labels, method and ticket.
+/// How a request may be handled; determined once, from its labels, method and ticket.
 struct RequestProfile {
     bool isRepeatable { false }; ///< It may run more than once.
-    bool mayContinue { false }; ///< An answer cut in the middle may go on from the prompt and the text sent.
+    bool mayContinue { false }; ///< A truncated answer may be continued from the prompt and the text sent.
     bool canResume { false }; ///< Its targets keep streams and resume them.
-    bool canCancel { false }; ///< Its targets take cancels and fence the request's id.
-    bool outlivesCaller { false }; ///< It has a ticket: it goes on and its answer is kept when the caller goes.
+    bool canCancel { false }; ///< Its targets accept cancels and fence the request's id.
+    bool outlivesCaller { false }; ///< It has a ticket: when the caller disconnects, it continues and its answer is stored.
     bool goesToHome { false }; ///< It is forwarded to its ticket's home, which alone may say 'not run'.
     std::uint32_t maxAttempts { 4 };
-    std::uint32_t unsentTries { 0 }; ///< Tries of which nothing reached a target that count neither as attempts nor as retries.
-    std::uint32_t maxResumes { 4 }; ///< New connections in a row that bring no new piece.
+    std::uint32_t unsentTries { 0 }; ///< Up to this many attempts that sent nothing count neither as attempts nor as retries.
+    std::uint32_t maxResumes { 4 }; ///< Consecutive new connections without a new piece.
     TimePoint deadline;
 };
 
 /// Returns whether RFC 9110 (section 9.2.2) calls the method idempotent. Names are case-sensitive. Thread-safe.
 bool isIdempotentMethod(std::string_view method);
 
-/// Decides dispatch, cancel, retry, resume, verdict and end of one request, and nothing else does: a pure function
+/// Decides dispatch, cancel, retry, resume, verdict and end of one request; no other code does. A pure function
 /// of its events and their times. Not thread-safe: one thread at a time.
 ///
 /// Events of a former attempt, repeated or out-of-order ones and all that come after `Finish` change nothing.
@@ -39,14 +39,14 @@
         AwaitingHead,
         Streaming,
         Resuming,
-        Fencing, ///< Waits for the target to say that it never saw the attempt.
+        Fencing, ///< Waits for the target to confirm that it never saw the attempt.
         Finished,
     };
 
     /// Precondition: `budget` outlives the machine.
     RequestMachine(RequestProfile, RetryBudget& budget);
 
-    /// Takes one event. Carry out the actions in their order before the next event is handed in.
+    /// Handles one event. Perform the actions in order before passing the next event.
     RequestActions handle(RequestEvent, TimePoint now);
 
     Phase phase() const { return m_phase; }
@@ -58,7 +58,7 @@
     /// How many pieces have been delivered.
     std::uint64_t deliveredPieces() const { return m_delivered; }
 
-    /// What is certain about the request now, were it to end with an error.
+    /// The verdict if the request ended with an error now.
     Core::Verdict verdict() const;
 
     /// When `DeadlineReached` is due.
@@ -104,14 +104,14 @@
 
     RequestProfile m_profile;
     RetryBudget* m_budget;
-    RequestActions* m_actions { nullptr }; ///< Where `handle` collects; null outside it.
+    RequestActions* m_actions { nullptr }; ///< Output of `handle`; null outside it.
     Phase m_phase { Phase::Queued };
     bool m_wasWritten { false }; ///< The current attempt has been written and not been proven not run.
     bool m_mayHaveRunBefore { false }; ///< An earlier attempt, or an earlier send of the ticket, may have run.
     bool m_headDelivered { false };
-    bool m_hasComputedPrompt { false }; ///< Computing it again is a send beyond the first.
-    bool m_keepsPrompt { false }; ///< The next attempt goes on from what was computed.
-    bool m_endsEvent { true }; ///< What has been delivered ends a whole event.
+    bool m_hasComputedPrompt { false }; ///< Recomputing it counts as an extra send.
+    bool m_keepsPrompt { false }; ///< The next attempt resumes from the computed part.
+    bool m_endsEvent { true }; ///< The delivered pieces end at an event boundary.
     std::uint32_t m_attempt { 0 };
     std::uint32_t m_unsent { 0 }; ///< Attempts that do not count.
     std::uint32_t m_connection { 0 };
--- a/Libraries/LibRequest/RetryBudget.cpp
+++ b/Libraries/LibRequest/RetryBudget.cpp
@@ -3,10 +3,10 @@
 
 namespace Request {
 
-RetryBudget::RetryBudget(Settings settings, TimePoint earnsFrom)
+RetryBudget::RetryBudget(Settings settings, TimePoint refillStart)
     : m_settings(settings)
     , m_tokens(settings.startsEmpty ? 0 : settings.burst)
-    , m_refilledAt(earnsFrom)
+    , m_refilledAt(refillStart)
 {
 }
 
@@ -33,7 +33,7 @@
         m_tokens = std::min(m_settings.burst, m_tokens + seconds * m_settings.floorPerSecond);
         m_refilledAt = now;
     }
-    // Sums of tenths fall a little short of whole numbers.
+    // Floating-point sums of tenths fall slightly short of whole numbers.
     constexpr double tolerance = 1e-6;
     if (m_tokens + tolerance < n)
         return false;
--- a/Libraries/LibRequest/RetryBudgets.cpp
+++ b/Libraries/LibRequest/RetryBudgets.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Daemons disagree for a moment on how many they are, and a window may begin with what was saved up before it: a tenth
-// of the allowance is kept back for that.
+// Daemons may briefly disagree on their number, and a window may begin with tokens saved before it: a tenth of the
+// allowance is held in reserve for that.
 constexpr double usedShare = 0.9;
-// A retry whose prompt is computed anew is two sends: with less saved up it could never be made.
-constexpr double leastBurst = 2;
+// A retry whose prompt is recomputed takes two sends; a smaller burst would never allow it.
+constexpr double minBurst = 2;
 
 }
 
@@ -19,7 +19,7 @@
 {
 }
 
-// Over one window a budget spends at most ratio * requests + burst + floor * window: the extra is shared by the two.
+// Over one window a budget spends at most ratio * requests + burst + floor * window: the extra is split between burst and floor.
 RetryBudget::Settings RetryBudgets::settings() const
 {
     constexpr double half = 0.5;
@@ -27,7 +27,7 @@
     double extra = m_daemons == 0 ? 0 : m_allowance.extra * usedShare / static_cast<double>(m_daemons);
     RetryBudget::Settings settings;
     settings.ratio = m_allowance.ratio * usedShare;
-    settings.burst = std::max(1.0, std::min(extra, std::max(leastBurst, extra * half)));
+    settings.burst = std::max(1.0, std::min(extra, std::max(minBurst, extra * half)));
     settings.floorPerSecond = std::max(0.0, extra - settings.burst) / seconds;
     settings.startsEmpty = true;
     return settings;
@@ -54,7 +54,7 @@
     std::lock_guard<std::mutex> lock(m_mutex);
     if (m_daemons == 0)
         m_knownSince = now;
-    // Kept are the numbers that no later one reached: the greatest stands first.
+    // Keeps only the counts that no later one reached, so the greatest comes first.
     std::erase_if(m_seenDaemons, [&](std::pair<TimePoint const, std::size_t> const& it) { return it.second <= daemons || now - it.first > memory * m_allowance.window; });
     m_seenDaemons[now] = std::max<std::size_t>(1, daemons);
     std::size_t most = m_seenDaemons.begin()->second;
--- a/Libraries/LibRequest/RetryBudgets.h
+++ b/Libraries/LibRequest/RetryBudgets.h
@@ -9,16 +9,16 @@
 
 namespace Request {
 
-/// An allowance of retries for each service that all daemons of a site share.
+/// The retry allowance of each service, shared by all daemons of a site.
 struct SharedAllowance {
     double ratio { 0.1 }; ///< Retries for each request to the service.
-    double extra { 0 }; ///< Retries beyond that in a window, for all daemons together.
+    double extra { 0 }; ///< Retries beyond that in a window, in total for all daemons.
     std::chrono::milliseconds window { 10'000 };
 };
 
-/// The retry budgets of one daemon: for each service its part of an allowance that all daemons share. Each daemon's
-/// requests earn its own part of the ratio, which holds whatever the daemons know of each other. The extra is divided by
-/// the most daemons that were known within a window, and not touched before any number is known. Thread-safe.
+/// The retry budgets of one daemon: for each service, its share of an allowance common to all daemons. Each daemon's
+/// requests earn its own share of the ratio, which holds whatever the daemons know of each other. The extra is divided by
+/// the largest recently known number of daemons (see `setDaemons`), and not used before any number is known. Thread-safe.
 class RetryBudgets {
 public:
     explicit RetryBudgets(SharedAllowance const&);
@@ -26,16 +26,16 @@
     /// Returns the budget of a service. It stays valid for as long as this object lives.
     RetryBudget& of(std::string const& service);
 
-    /// Takes another allowance over.
+    /// Applies a new allowance.
     void change(SharedAllowance const&);
 
-    /// Says how many daemons share the allowance now, this one included; to be called several times a window. One that is
-    /// not heard may live and spend its part all the same, so a smaller number holds only after `memory` windows.
+    /// Sets how many daemons share the allowance now, including this one; call it several times per window. A daemon that
+    /// is not heard may still run and spend its share, so a smaller number takes effect only after `memory` windows.
     /// Preconditions: at least 1; `now` does not go back.
     void setDaemons(std::size_t, TimePoint now);
 
-    /// How many windows the greatest number of daemons counts: one in which a daemon that is not heard any more may spend
-    /// what it had saved, and one more in which callers still know its address.
+    /// Number of windows for which the largest number of daemons applies: one in which a daemon that is no longer heard may
+    /// spend its saved tokens, and one more in which callers still know its address.
     static constexpr int memory = 2;
 
 private:
@@ -44,9 +44,9 @@
 
     SharedAllowance m_allowance;
     std::mutex m_mutex;
-    std::size_t m_daemons { 0 }; ///< 0: not known yet.
-    TimePoint m_knownSince; ///< When it was first told.
-    std::map<TimePoint, std::size_t> m_seenDaemons; ///< Numbers of daemons and when they were last told, greater ones first.
+    std::size_t m_daemons { 0 }; ///< 0: unknown so far.
+    TimePoint m_knownSince; ///< Time of the first `setDaemons` call.
+    std::map<TimePoint, std::size_t> m_seenDaemons; ///< Daemon counts by the time they were last reported, largest first.
     std::map<std::string, std::unique_ptr<RetryBudget>> m_budgets;
 };
 
--- a/Libraries/LibRequest/Ticket.cpp
+++ b/Libraries/LibRequest/Ticket.cpp
@@ -25,12 +25,12 @@
 {
     BOOST_OUTCOME_TRY(std::vector<std::uint8_t> bytes, decodeBase64Url(text));
     if (bytes.size() < TicketFormat::minimumSize || bytes.size() > TicketFormat::maximumSize)
-        return Core::fail(Core::ErrorCode::BadInput, "The ticket's length is wrong.");
+        return Core::fail(Core::ErrorCode::BadInput, "The ticket has an invalid length.");
     if (bytes[0] != TicketFormat::version)
-        return Core::fail(Core::ErrorCode::BadInput, "The ticket's version is not known here.");
+        return Core::fail(Core::ErrorCode::BadInput, "The ticket version is not supported.");
     std::size_t nameSize = bytes[TicketFormat::nameSizeAt];
     if (nameSize == 0 || bytes.size() != TicketFormat::minimumSize + nameSize)
-        return Core::fail(Core::ErrorCode::BadInput, "The ticket's length is wrong.");
+        return Core::fail(Core::ErrorCode::BadInput, "The ticket has an invalid length.");
     Ticket ticket;
     ticket.incarnation = TicketFormat::readNumber(bytes, TicketFormat::incarnationAt);
     std::int64_t issued = static_cast<std::int64_t>(TicketFormat::readNumber(bytes, TicketFormat::issuedAt));
--- a/Libraries/LibRequest/Ticket.h
+++ b/Libraries/LibRequest/Ticket.h
@@ -11,10 +11,10 @@
 
 namespace Request {
 
-/// Monotonic time, always handed in.
+/// Monotonic time, always passed in by the caller.
 using TimePoint = std::chrono::steady_clock::time_point;
 
-/// The 128 random bits that tell one ticket of an incarnation from another.
+/// 128 random bits that identify a ticket within an incarnation.
 using TicketNonce = std::array<std::uint8_t, 16>;
 
 /// Hashes a nonce for tables; its bits are random already.
@@ -22,17 +22,17 @@
     std::size_t operator()(TicketNonce const&) const;
 };
 
-/// A claim check for one request that may not be repeated. It names the one daemon incarnation, its home,
-/// that may ever run the request. See docs/design/requests.md.
+/// A signed token for one non-repeatable request. It names its home, the only daemon incarnation that may run the
+/// request. See docs/design/requests.md.
 struct Ticket {
     std::string home; ///< Name of the daemon, as in the VM list.
     std::uint64_t incarnation { 0 }; ///< Random number of that daemon's process.
-    TimePoint issuedAt; ///< By the home's own monotonic clock; means nothing elsewhere.
+    TimePoint issuedAt; ///< By the home's own monotonic clock; meaningless elsewhere.
     TicketNonce nonce {};
 
     bool operator==(Ticket const&) const = default;
 
-    /// Reads a ticket's text without checking its signature: enough to find the home. Errors: BadInput,
+    /// Parses a ticket's text without checking its signature, which is enough to find the home. Errors: BadInput,
     /// not run (no daemon runs a request under a text that is no ticket). Thread-safe.
     static Core::Result<Ticket> parse(std::string_view text);
 };
--- a/Libraries/LibRequest/TicketFormat.cpp
+++ b/Libraries/LibRequest/TicketFormat.cpp
@@ -50,7 +50,7 @@
     for (char c : text) {
         std::size_t value = alphabet.find(c);
         if (value == std::string_view::npos)
-            return Core::fail(Core::ErrorCode::BadInput, "A ticket consists of letters, digits, '-' and '_' only.");
+            return Core::fail(Core::ErrorCode::BadInput, "A ticket may contain only letters, digits, '-' and '_'.");
         bits = (bits << 6U) | static_cast<std::uint32_t>(value);
         count += 6;
         if (count >= 8) {
@@ -59,7 +59,7 @@
         }
     }
     if (count >= 6 || (bits & ((1U << count) - 1)) != 0)
-        return Core::fail(Core::ErrorCode::BadInput, "The ticket's last character is wrong.");
+        return Core::fail(Core::ErrorCode::BadInput, "The last character of the ticket is invalid.");
     return bytes;
 }
 
--- a/Libraries/LibRequest/TicketFormat.h
+++ b/Libraries/LibRequest/TicketFormat.h
@@ -11,8 +11,8 @@
 namespace Request {
 
 /// Layout of a ticket before base64url: version (1 byte), incarnation (8), time of issue in nanoseconds of the
-/// home's monotonic clock (8), nonce (16), length of the home's name (1), name, HMAC-SHA256 of all before it (32).
-/// Numbers are big-endian. Private to this library.
+/// home's monotonic clock (8), nonce (16), length of the home's name (1), name, HMAC-SHA256 of everything before it (32).
+/// Numbers are big-endian. Internal to this library.
 struct TicketFormat {
     static constexpr std::uint8_t version = 1;
     static constexpr std::size_t incarnationAt = 1;
--- a/Libraries/LibRequest/TicketIssuer.cpp
+++ b/Libraries/LibRequest/TicketIssuer.cpp
@@ -26,11 +26,11 @@
 Core::Result<TicketIssuer> TicketIssuer::create(Settings settings)
 {
     if (settings.home.empty() || settings.home.size() > TicketFormat::maximumNameSize)
-        return Core::fail(Core::ErrorCode::BadInput, "A daemon's name has 1 to 255 bytes.");
+        return Core::fail(Core::ErrorCode::BadInput, "The daemon name must be 1 to 255 bytes long.");
     if (settings.secret.size() < minimumSecretSize)
-        return Core::fail(Core::ErrorCode::BadInput, "The tickets' secret needs 32 bytes or more.");
+        return Core::fail(Core::ErrorCode::BadInput, "The ticket secret must be at least 32 bytes long.");
     if (!settings.fillRandom)
-        return Core::fail(Core::ErrorCode::BadInput, "Tickets need a source of random bytes.");
+        return Core::fail(Core::ErrorCode::BadInput, "Issuing tickets requires a source of random bytes.");
     return TicketIssuer(std::move(settings));
 }
 
--- a/Libraries/LibRequest/TicketIssuer.h
+++ b/Libraries/LibRequest/TicketIssuer.h
@@ -28,7 +28,7 @@
 
     /// Checks that this incarnation issued the ticket. Errors: BadInput and Unauthorized (not run: nothing can
     /// have run under a text that this home never issued), Unavailable (may have run: another daemon's or an
-    /// earlier incarnation's ticket). Whether it has expired is the `OnceTable`'s matter.
+    /// earlier incarnation's ticket). The `OnceTable` checks expiry.
     Core::Result<Ticket> verify(std::string_view text) const;
 
 private:
--- a/Tests/LibRequest/Faults.cpp
+++ b/Tests/LibRequest/Faults.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Gives the next message from the target this fate.
+/// Applies this fault to the next message from the target.
 void onNextReply(World& world, Fate fate, bool isLasting = false)
 {
     std::shared_ptr<bool> isDone = std::make_shared<bool>(false);
--- a/Tests/LibRequest/Faults.h
+++ b/Tests/LibRequest/Faults.h
@@ -11,11 +11,11 @@
 inline constexpr std::size_t faultCount = 19;
 inline constexpr std::array<char const*, stepCount> stepNames { "received", "queued", "picked", "connecting", "written", "awaiting_head", "streaming", "ending", "kept", "collected" };
 
-/// A fault that strikes once a step is reached; node 0 is the ticket's home (or the entry), node 10 the first target.
+/// A fault injected once a step is reached; node 0 is the ticket's home (or the entry), node 10 the first target.
 struct Fault {
     std::string name;
     std::function<void(World&)> strike;
-    /// Expected outcomes at the ten steps, for each kind of request, as `World::outcome` gives them.
+    /// Expected outcomes at the ten steps, for each kind of request, as returned by `World::outcome`.
     std::string repeatableStream;
     std::string serviceOnce;
     std::string engineOnce;
@@ -23,7 +23,7 @@
 
 std::vector<Fault> const& faults();
 
-/// A world in which `fault` strikes when `step` is reached, and `second` (if any) 30 ms later.
+/// Returns a simulation in which `fault` is injected when `step` is reached, and `second` (if any) 30 ms later.
 std::unique_ptr<World> runFault(Kind, std::size_t step, Fault const& fault, Fault const* second = nullptr);
 
 }
--- a/Tests/LibRequest/Runner.cpp
+++ b/Tests/LibRequest/Runner.cpp
@@ -127,7 +127,7 @@
     m_world.send(m_connection, m_node, [self, target, leg = it.leg, connection = m_connection, first = m_base] { self->m_world.targetReceives(target, self->key(leg.attempt), self->m_call, first, self, leg, connection); }, [self, leg = it.leg] { self->feed(Request::StreamBroken { leg }); });
 }
 
-/// Sends the request, or what goes on with it, to its home.
+/// Sends the request, or its continuation, to its home.
 void Runner::follow(Request::Leg leg, std::uint64_t from)
 {
     std::shared_ptr<Runner> self = shared_from_this();
--- a/Tests/LibRequest/Runner.h
+++ b/Tests/LibRequest/Runner.h
@@ -4,7 +4,7 @@
 
 namespace TestWorld {
 
-/// Carries out one machine's actions in the world, as the daemon's shell does.
+/// Performs one machine's actions in the simulation, as the daemon's I/O layer does.
 class Runner : public std::enable_shared_from_this<Runner> {
 public:
     Runner(World&, NodeId, int call, Request::RequestProfile, std::optional<NodeId> home);
@@ -14,7 +14,7 @@
 
     std::function<void(std::uint64_t position, std::string bytes)> onPiece;
     std::function<void(Request::Finish const&)> onFinish;
-    std::uint64_t firstPiece { 0 }; ///< Where the caller goes on, on the way to a home.
+    std::uint64_t firstPiece { 0 }; ///< Where the caller resumes, for a request forwarded to a home.
 
     NodeId node() const { return m_node; }
     int call() const { return m_call; }
--- a/Tests/LibRequest/TestHome.cpp
+++ b/Tests/LibRequest/TestHome.cpp
@@ -17,7 +17,7 @@
     return ticket;
 }
 
-/// The error, or one of no meaning when there is none.
+/// The error, or a default one if there is none.
 template <typename T>
 Core::Error errorOf(Core::Result<T> const& result)
 {
--- a/Tests/LibRequest/TestHttpMapping.cpp
+++ b/Tests/LibRequest/TestHttpMapping.cpp
@@ -45,7 +45,7 @@
     EXPECT_EQ(Request::toHttpError(Core::makeError(Core::ErrorCode::Conflict, "other"), {}).status, 422);
 }
 
-// Nothing is gained by sending a request again that ends what runs it.
+// A request that crashes its target must not be retried.
 TEST(HttpMapping, ARequestInQuarantineIsNotRunAndNotToBeSentAgain)
 {
     Request::HttpError refused = Request::toHttpError(Core::makeError(Core::ErrorCode::Quarantined, "x"), { .requestId = "r", .retryAfter = 60s });
--- a/Tests/LibRequest/TestMatrix.cpp
+++ b/Tests/LibRequest/TestMatrix.cpp
@@ -27,7 +27,7 @@
 
 constexpr char const* faultTableFile = CURRANTVALE_SOURCES "/docs/faults/request.tsv";
 
-/// What the callers of the three kinds are told, in words.
+/// Describes the outcome for callers of the three kinds.
 std::string promiseOf(Fault const& fault, std::size_t step)
 {
     std::map<char, std::string> const words { { 'W', "whole" }, { 'N', "not run" }, { 'M', "may have run" }, { 'G', "canceled" } };
@@ -73,7 +73,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Matrix, RequestFaultPair, testing::Range<std::size_t>(0, stepCount), [](testing::TestParamInfo<std::size_t> const& it) { return std::string(stepNames[it.param]); });
 
-// CURRANTVALE_WRITE_FAULT_TABLE=1 in the environment writes the table anew.
+// CURRANTVALE_WRITE_FAULT_TABLE=1 in the environment regenerates the table.
 TEST(RequestFaultTable, IsTheOneInTheDocs)
 {
     if (std::getenv("CURRANTVALE_WRITE_FAULT_TABLE") != nullptr)
@@ -84,7 +84,7 @@
     EXPECT_TRUE(content.str() == faultTable()) << "docs/faults/request.tsv is not what the tests check";
 }
 
-// Keeps docs/faults/request-breaks.tsv true to the code; whether each break turns its test red is tried by hand.
+// Checks that docs/faults/request-breaks.tsv matches the code. That each break fails its test is checked manually.
 TEST(RequestFaultTable, BreaksNameCodeThatStands)
 {
     std::ifstream table(CURRANTVALE_SOURCES "/docs/faults/request-breaks.tsv");
--- a/Tests/LibRequest/TestRandomFaults.cpp
+++ b/Tests/LibRequest/TestRandomFaults.cpp
@@ -16,7 +16,7 @@
     return n < daemonCount ? n : firstTarget + n - daemonCount;
 }
 
-/// Strikes with one random fault now.
+/// Injects one random fault.
 void strike(World& world, int calls)
 {
     NodeId node = anyNode();
@@ -53,7 +53,7 @@
     }
 }
 
-/// Loses, repeats, delays and reorders a share of all messages.
+/// Drops, duplicates, delays and reorders a fraction of all messages.
 std::function<Fate(NodeId, NodeId)> randomFate(unsigned seed, int percent)
 {
     std::shared_ptr<std::mt19937_64> random = std::make_shared<std::mt19937_64>(seed);
@@ -93,7 +93,7 @@
     }
     int strikes = *rc::gen::inRange(0, 8);
     for (int i = 0; i < strikes; ++i) {
-        // Most of an undisturbed request's life is within 30 ms.
+        // Without faults, a request takes place mostly within 30 ms.
         world.run(Millis(*rc::gen::oneOf(rc::gen::inRange(0, 10), rc::gen::inRange(0, 3000))));
         strike(world, calls);
     }
@@ -157,7 +157,7 @@
                     atKill.insert(it);
             }
         }
-        // A caller that finds an address dead takes the next one and a ticket from there.
+        // A caller that finds an address unreachable uses the next one and gets a ticket there.
         NodeId home = call >= calls / 2 && call % daemons == 0 ? 1 : call % daemons;
         world.start(call, Kind::ServiceOnce, home, home);
     }
--- a/Tests/LibRequest/TestRequestMachine.cpp
+++ b/Tests/LibRequest/TestRequestMachine.cpp
@@ -14,7 +14,7 @@
     return { .isRepeatable = true, .mayContinue = true, .canResume = true, .canCancel = true, .deadline = deadline };
 }
 
-/// A machine with its budget, and short forms for what the tests do often.
+/// A machine with its budget, and shorthands for common test steps.
 struct Case {
     RetryBudget budget { {} };
     RequestMachine machine;
@@ -281,7 +281,7 @@
     EXPECT_EQ(test.finish(ConnectFailed { { 1, 1 }, false }).verdict, Core::Verdict::NotRun);
 }
 
-// Targets that share an allowance count every send beyond the first: a prompt that is computed once more is one of its own.
+// Targets that share an allowance count every send beyond the first; recomputing a prompt counts as a separate send.
 TEST(RequestMachine, ARetryThatComputesItsPromptAnewTakesTwoSendsFromTheBudget)
 {
     Case it({ .isRepeatable = true, .maxAttempts = 4, .deadline = deadline });
--- a/Tests/LibRequest/TestRetryBudgets.cpp
+++ b/Tests/LibRequest/TestRetryBudgets.cpp
@@ -25,7 +25,7 @@
 
 }
 
-// Whatever each daemon does, all together stay within the allowance of any window.
+// The daemons together never exceed the allowance of a window.
 TEST(RetryBudgets, DaemonsTogetherStayWithinTheSharedAllowance)
 {
     constexpr std::size_t daemons = 6;
@@ -35,7 +35,7 @@
         budgets.push_back(std::make_unique<RetryBudgets>(allowance));
         budgets.back()->setDaemons(daemons, TimePoint { 100s });
     }
-    // In the first window what may be saved up is earned, since nobody starts with it.
+    // Every daemon starts empty, so the first window earns the burst.
     TimePoint now { 100s };
     std::size_t taken = 0;
     std::size_t requests = 0;
@@ -67,7 +67,7 @@
     EXPECT_TRUE(budgets.of("b").take(now));
 }
 
-// One that is not heard any more may go on serving: its part is given to others only when it can have none left.
+// A daemon that is no longer heard may still serve: its share is redistributed only when it can have none left.
 TEST(RetryBudgets, FewerDaemonsMeanALargerPartAfterTwoWindows)
 {
     RetryBudgets budgets({ 0.0, 100, 10s });
@@ -95,8 +95,8 @@
     EXPECT_EQ(takeAll(budgets, now), 1U) << "what its own requests earn is its own, as much as it may save";
 }
 
-// The load: targets refuse all, so that every daemon spends what it has the moment it has it; daemons are killed and start
-// again, cannot be heard, and their number is misjudged for a while; the rate of requests jumps between windows.
+// Load: targets refuse everything, so that every daemon spends its budget at once; daemons are killed and restarted, are
+// unreachable, and their number is temporarily misjudged; the request rate jumps between windows.
 RC_GTEST_PROP(RetryBudgets, NoWindowExceedsTheAllowanceWhateverDaemonsKnowOfEachOther, ())
 {
     constexpr std::chrono::milliseconds step { 100 };
@@ -116,7 +116,7 @@
             bool isStarting = !it || *rc::gen::inRange(0, 100) == 0;
             if (isStarting)
                 it = std::make_unique<RetryBudgets>(allowance);
-            // All daemons are known for two windows from the last beacon on; a newcomer reads them from the store.
+            // All daemons are known for two windows from the last beacon on; a new daemon reads them from the store.
             bool isHeard = isStarting || *rc::gen::inRange(0, 20) > 0;
             it->setDaemons(isHeard ? daemons : *rc::gen::inRange<std::size_t>(1, daemons + 1), now);
             RetryBudget& budget = it->of("llm");
--- a/Tests/LibRequest/World.cpp
+++ b/Tests/LibRequest/World.cpp
@@ -70,7 +70,7 @@
     m_now = end;
 }
 
-/// A timer of a node: it dies with its process and waits while that is paused.
+/// A timer of a node: it is discarded when its process dies, and deferred while the process is paused.
 void World::timer(NodeId id, Millis delay, Task task)
 {
     std::uint64_t incarnation = m_nodes[id].incarnation;
@@ -104,7 +104,7 @@
     if (connection->isSilent || connection->isBroken || !m_nodes[from].isAlive)
         return;
     Fate fate = this->fate ? this->fate(from, to) : Fate {};
-    // Callers speak HTTP over one connection, which neither repeats nor reorders.
+    // Callers speak HTTP over one connection, which neither duplicates nor reorders messages.
     if (connection->from == callerNode)
         fate = Fate { .delay = fate.delay, .breaksConnection = fate.breaksConnection };
     if (fate.breaksConnection) {
@@ -113,8 +113,8 @@
             for (std::pair<int const, Call>& it : m_calls) {
                 if (it.second.connection != connection)
                     continue;
-                if (it.second.tellGone)
-                    it.second.tellGone();
+                if (it.second.notifyDisconnected)
+                    it.second.notifyDisconnected();
                 callerLost(it.first, it.second.sends);
             }
             for (std::shared_ptr<Runner> const& runner : m_runners) {
@@ -158,7 +158,7 @@
     m_nodes[id].isAlive = false;
     ++m_nodes[id].incarnation;
     m_targets.erase(id);
-    // The system at the other end of each connection resets it.
+    // The peer's operating system resets each connection.
     for (std::shared_ptr<Runner> const& runner : m_runners) {
         if (runner->currentTarget() == id && !m_blocked.contains({ id, runner->node() }))
             at(m_now + latency, [runner, leg = runner->currentLeg()] { runner->feed(Request::StreamBroken { leg }); });
@@ -228,7 +228,7 @@
 {
     Call& call = m_calls[id];
     int send = ++call.sends;
-    // Without a ticket each send is a request of its own.
+    // Without a ticket, each send is a separate request.
     if (call.ticket.empty())
         call.received.clear();
     call.connection = connect(callerNode, call.entry);
@@ -239,7 +239,7 @@
     timer(callerNode, callerSilence, [this, id, send] { callerLost(id, send); });
 }
 
-/// The caller's connection ended or nothing came: it tries the next address.
+/// The caller's connection ended or timed out: it tries the next address.
 void World::callerLost(int id, int send)
 {
     Call& call = m_calls[id];
@@ -255,8 +255,8 @@
     if (call.finals > 0)
         return;
     call.connection->isBroken = true;
-    if (call.tellGone)
-        call.tellGone();
+    if (call.notifyDisconnected)
+        call.notifyDisconnected();
     if (call.ticket.empty())
         call.isGone = true;
     else
@@ -321,7 +321,7 @@
     runner->firstPiece = from;
     runner->onPiece = [toCaller, from](std::uint64_t position, std::string const& bytes) { toCaller(from + position, bytes); };
     runner->onFinish = [endCaller](Request::Finish const& it) { endCaller(it.verdict, it.error); };
-    call.tellGone = [runner] { runner->feed(Request::CallerGone {}); };
+    call.notifyDisconnected = [runner] { runner->feed(Request::CallerGone {}); };
     if (!home)
         step(Step::Received, id);
     runner->start();
@@ -366,7 +366,7 @@
     runner->start();
 }
 
-/// Hands what is kept to all who follow.
+/// Sends the stored pieces to all readers.
 void World::pump(NodeId node)
 {
     Daemon& daemon = m_daemons[node];
@@ -435,7 +435,7 @@
     return call.error->verdict == Core::Verdict::NotRun ? 'N' : 'M';
 }
 
-/// An answer has its own pieces in order, and none of a run that was left after the next one began.
+/// Checks that an answer has its own pieces in order, and none from an abandoned run after the next one began.
 std::string World::violationsOf(Call const& call)
 {
     std::string result;
--- a/Tests/LibRequest/World.h
+++ b/Tests/LibRequest/World.h
@@ -22,7 +22,7 @@
     ServiceOnce,
     EngineOnce };
 
-/// Where a request stands at the daemon that runs it.
+/// The progress of a request at the daemon that runs it.
 enum class Step { Received,
     Queued,
     Picked,
@@ -39,12 +39,12 @@
 inline constexpr NodeId callerNode = 20;
 inline constexpr std::uint64_t pieceCount = 5;
 
-/// What happens to one message.
+/// How the network treats one message.
 struct Fate {
     int copies { 1 };
-    Millis delay { 0 }; ///< With those behind it on the connection.
-    Millis overtakenFor { 0 }; ///< Those behind it come first.
-    bool breaksConnection { false }; ///< It is lost and the connection ends.
+    Millis delay { 0 }; ///< Also delays later messages on the connection.
+    Millis overtakenFor { 0 }; ///< Later messages arrive first.
+    bool breaksConnection { false }; ///< The message is lost and the connection closes.
 };
 
 struct Node {
@@ -82,7 +82,7 @@
     TimePoint startedAt;
     TimePoint endedAt;
     ConnectionPtr connection;
-    std::function<void()> tellGone; ///< Tells the entry that the caller's connection ended.
+    std::function<void()> notifyDisconnected; ///< Tells the entry that the caller's connection ended.
 };
 
 class Runner;
@@ -117,8 +117,8 @@
     std::unique_ptr<Request::RetryBudget> budget;
 };
 
-/// Daemons, targets, callers and a faulty network in virtual time: the shell around the real request machine, ticket
-/// home and answer store, with every message in the hands of the test.
+/// Simulates daemons, targets, callers and a faulty network in virtual time around the real request machine, ticket home
+/// and answer store. The test controls every message.
 class World {
 public:
     World(int daemons, int targets);
@@ -135,17 +135,17 @@
     void silence(NodeId from, NodeId to);
     void refuse(NodeId target, bool refuses) { m_nodes[target].refuses = refuses; }
 
-    /// Whether callers send again (with their ticket) after any error.
+    /// Whether callers retry (with their ticket) after any error.
     bool callersInsist { false };
 
     /// Faults of messages; the default is none.
     std::function<Fate(NodeId from, NodeId to)> fate;
     std::function<void(Step, int call)> onStep;
 
-    /// Broken promises, one a line; empty when all hold. Precondition: all deadlines have passed.
+    /// Violated invariants, one per line; empty if all hold. Precondition: all deadlines have passed.
     std::string violations() const;
 
-    /// W whole, N not run, M may have run, G caller gone, - no final answer.
+    /// W complete, N not run, M may have run, G caller disconnected, - no final answer.
     char outcome(int call) const;
 
     TimePoint now() const { return m_now; }
@@ -199,7 +199,7 @@
 };
 
 Request::RequestProfile profileOf(Kind, TimePoint deadline);
-/// A piece's text; the run that made it is named at its end.
+/// A piece's text, which ends with the name of the run that produced it.
 std::string pieceOf(int call, std::uint64_t position, std::string const& run);
 
 }
