--- a/Tests/LibRequest/Faults.h
+++ b/Tests/LibRequest/Faults.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "World.h"
+#include "RequestSimulation.h"
 #include <array>
 
-namespace TestWorld {
+namespace RequestTest {
 
 inline constexpr NodeId homeNode = 0;
 inline constexpr NodeId otherEntry = 1;
@@ -14,8 +14,8 @@
 /// A fault injected once a step is reached; node 0 is the ticket's home (or the entry), node 10 the first target.
 struct Fault {
     std::string name;
-    std::function<void(World&)> strike;
-    /// Expected outcomes at the ten steps, for each kind of request, as returned by `World::outcome`.
+    std::function<void(RequestSimulation&)> strike;
+    /// Expected outcomes at the ten steps, for each kind of request, as returned by `RequestSimulation::outcome`.
     std::string repeatableStream;
     std::string serviceOnce;
     std::string engineOnce;
@@ -24,6 +24,6 @@
 std::vector<Fault> const& faults();
 
 /// Returns a simulation in which `fault` is injected when `step` is reached, and `second` (if any) 30 ms later.
-std::unique_ptr<World> runFault(Kind, std::size_t step, Fault const& fault, Fault const* second = nullptr);
+std::unique_ptr<RequestSimulation> runFault(Kind, std::size_t step, Fault const& fault, Fault const* second = nullptr);
 
 }
--- a/Tests/LibRequest/World.cpp
+++ b/Tests/LibRequest/RequestSimulation.cpp
@@ -1,8 +1,8 @@
-#include "World.h"
+#include "RequestSimulation.h"
 #include "Runner.h"
 #include <algorithm>
 
-namespace TestWorld {
+namespace RequestTest {
 
 namespace {
 
@@ -27,7 +27,7 @@
     return "call " + std::to_string(call) + " piece " + std::to_string(position) + " by " + run + "\n";
 }
 
-World::World(int daemons, int targets)
+RequestSimulation::RequestSimulation(int daemons, int targets)
 {
     for (NodeId id = 0; id < daemons; ++id)
         startDaemon(id);
@@ -36,7 +36,7 @@
     m_nodes[callerNode] = Node {};
 }
 
-void World::startDaemon(NodeId id)
+void RequestSimulation::startDaemon(NodeId id)
 {
     std::uint64_t incarnation = m_nodes[id].incarnation;
     std::shared_ptr<std::uint64_t> counter = std::make_shared<std::uint64_t>(0);
@@ -53,12 +53,12 @@
     m_daemons[id] = std::move(daemon);
 }
 
-void World::at(TimePoint time, Task task)
+void RequestSimulation::at(TimePoint time, Task task)
 {
     m_tasks.push({ time, m_number++, std::move(task) });
 }
 
-void World::run(Millis until)
+void RequestSimulation::run(Millis until)
 {
     TimePoint end = m_now + until;
     while (!m_tasks.empty() && m_tasks.top().at <= end) {
@@ -71,7 +71,7 @@
 }
 
 /// A timer of a node: it is discarded when its process dies, and deferred while the process is paused.
-void World::timer(NodeId id, Millis delay, Task task)
+void RequestSimulation::timer(NodeId id, Millis delay, Task task)
 {
     std::uint64_t incarnation = m_nodes[id].incarnation;
     at(m_now + delay, [this, id, incarnation, task = std::move(task)] {
@@ -85,7 +85,7 @@
     });
 }
 
-ConnectionPtr World::connect(NodeId from, NodeId to)
+ConnectionPtr RequestSimulation::connect(NodeId from, NodeId to)
 {
     ConnectionPtr connection = std::make_shared<Connection>();
     connection->from = from;
@@ -96,18 +96,18 @@
     return connection;
 }
 
-void World::send(ConnectionPtr const& connection, NodeId from, Task const& task, Task const& onReset)
+void RequestSimulation::send(ConnectionPtr const& connection, NodeId from, Task const& task, Task const& onReset)
 {
     NodeId to = from == connection->from ? connection->to : connection->from;
     if (m_blocked.contains({ from, to }))
         connection->isSilent = true;
     if (connection->isSilent || connection->isBroken || !m_nodes[from].isAlive)
         return;
-    Fate fate = this->fate ? this->fate(from, to) : Fate {};
+    MessageFault fault = this->fault ? this->fault(from, to) : MessageFault {};
     // Callers speak HTTP over one connection, which neither duplicates nor reorders messages.
     if (connection->from == callerNode)
-        fate = Fate { .delay = fate.delay, .breaksConnection = fate.breaksConnection };
-    if (fate.breaksConnection) {
+        fault = MessageFault { .delay = fault.delay, .breaksConnection = fault.breaksConnection };
+    if (fault.breaksConnection) {
         connection->isBroken = true;
         at(m_now + latency, [this, connection] {
             for (std::pair<int const, Call>& it : m_calls) {
@@ -124,13 +124,13 @@
         });
         return;
     }
-    TimePoint due = std::max(m_now + latency + fate.delay, connection->lastDelivery);
+    TimePoint due = std::max(m_now + latency + fault.delay, connection->lastDelivery);
     connection->lastDelivery = due;
-    for (int i = 0; i < fate.copies; ++i)
-        at(due + fate.overtakenFor, [=, this] { deliver(connection, to, task, onReset); });
+    for (int i = 0; i < fault.copies; ++i)
+        at(due + fault.overtakenFor, [=, this] { deliver(connection, to, task, onReset); });
 }
 
-void World::deliver(ConnectionPtr const& connection, NodeId to, Task const& task, Task const& onReset)
+void RequestSimulation::deliver(ConnectionPtr const& connection, NodeId to, Task const& task, Task const& onReset)
 {
     if (connection->isSilent || connection->isBroken)
         return;
@@ -147,13 +147,13 @@
         task();
 }
 
-void World::step(Step step, int call)
+void RequestSimulation::step(Step step, int call)
 {
     if (onStep)
         onStep(step, call);
 }
 
-void World::kill(NodeId id)
+void RequestSimulation::kill(NodeId id)
 {
     m_nodes[id].isAlive = false;
     ++m_nodes[id].incarnation;
@@ -169,7 +169,7 @@
     }
 }
 
-void World::restart(NodeId id)
+void RequestSimulation::restart(NodeId id)
 {
     if (m_nodes[id].isAlive)
         kill(id);
@@ -178,12 +178,12 @@
         startDaemon(id);
 }
 
-void World::pause(NodeId id, Millis time)
+void RequestSimulation::pause(NodeId id, Millis time)
 {
     m_nodes[id].pausedUntil = m_now + time;
 }
 
-void World::block(NodeId from, NodeId to, bool isBlocked)
+void RequestSimulation::block(NodeId from, NodeId to, bool isBlocked)
 {
     if (isBlocked)
         m_blocked.emplace(from, to);
@@ -191,7 +191,7 @@
         m_blocked.erase({ from, to });
 }
 
-void World::silence(NodeId from, NodeId to)
+void RequestSimulation::silence(NodeId from, NodeId to)
 {
     for (ConnectionPtr const& it : m_connections) {
         if (it->from == from && it->to == to)
@@ -199,7 +199,7 @@
     }
 }
 
-void World::shutDown(NodeId id)
+void RequestSimulation::shutDown(NodeId id)
 {
     at(m_now, [this, id] {
         for (std::size_t i = 0; i < m_runners.size(); ++i) {
@@ -211,7 +211,7 @@
     timer(id, 20ms, [this, id] { kill(id); });
 }
 
-void World::start(int id, Kind kind, NodeId home, NodeId entry)
+void RequestSimulation::start(int id, Kind kind, NodeId home, NodeId entry)
 {
     Call call;
     call.id = id;
@@ -224,7 +224,7 @@
     callerSends(id);
 }
 
-void World::callerSends(int id)
+void RequestSimulation::callerSends(int id)
 {
     Call& call = m_calls[id];
     int send = ++call.sends;
@@ -240,7 +240,7 @@
 }
 
 /// The caller's connection ended or timed out: it tries the next address.
-void World::callerLost(int id, int send)
+void RequestSimulation::callerLost(int id, int send)
 {
     Call& call = m_calls[id];
     if (call.finals > 0 || call.isGone || call.sends != send || call.sends > 4)
@@ -249,7 +249,7 @@
     callerSends(id);
 }
 
-void World::callerLeaves(int id)
+void RequestSimulation::callerLeaves(int id)
 {
     Call& call = m_calls[id];
     if (call.finals > 0)
@@ -263,7 +263,7 @@
         timer(callerNode, 300ms, [this, id, send = call.sends] { callerLost(id, send); });
 }
 
-void World::callerGets(int id, int send, std::uint64_t position, std::string bytes)
+void RequestSimulation::callerGets(int id, int send, std::uint64_t position, std::string bytes)
 {
     Call& call = m_calls[id];
     if (call.sends != send || call.finals > 0)
@@ -273,7 +273,7 @@
     call.received.push_back(std::move(bytes));
 }
 
-void World::callerEnds(int id, int send, Core::Verdict verdict, std::optional<Core::Error> error)
+void RequestSimulation::callerEnds(int id, int send, Core::Verdict verdict, std::optional<Core::Error> error)
 {
     Call& call = m_calls[id];
     if (call.sends != send)
@@ -293,7 +293,7 @@
     callerLost(id, send);
 }
 
-void World::entryReceives(int id, int send, ConnectionPtr const& connection, std::uint64_t from)
+void RequestSimulation::entryReceives(int id, int send, ConnectionPtr const& connection, std::uint64_t from)
 {
     Call& call = m_calls[id];
     NodeId entry = connection->to;
@@ -327,7 +327,7 @@
     runner->start();
 }
 
-void World::homeReceives(NodeId node, int id, std::shared_ptr<Reader> const& reader)
+void RequestSimulation::homeReceives(NodeId node, int id, std::shared_ptr<Reader> const& reader)
 {
     Daemon& daemon = m_daemons[node];
     Call& call = m_calls[id];
@@ -352,7 +352,7 @@
     pump(node);
 }
 
-void World::runAtHome(NodeId node, int id, Request::TicketNonce const& nonce)
+void RequestSimulation::runAtHome(NodeId node, int id, Request::TicketNonce const& nonce)
 {
     std::shared_ptr<Runner> runner = std::make_shared<Runner>(*this, node, id, profileOf(m_calls[id].kind, m_now + deadline), std::nullopt);
     runner->onPiece = [this, node, nonce](std::uint64_t position, std::string const& bytes) {
@@ -367,7 +367,7 @@
 }
 
 /// Sends the stored pieces to all readers.
-void World::pump(NodeId node)
+void RequestSimulation::pump(NodeId node)
 {
     Daemon& daemon = m_daemons[node];
     for (std::shared_ptr<Reader> const& reader : std::vector<std::shared_ptr<Reader>>(daemon.readers)) {
@@ -391,7 +391,7 @@
     std::erase_if(daemon.readers, [](std::shared_ptr<Reader> const& it) { return it->isDone; });
 }
 
-void World::targetReceives(NodeId node, std::string const& key, int call, std::uint64_t first, std::shared_ptr<Runner> const& runner, Request::Leg leg, ConnectionPtr const& connection)
+void RequestSimulation::targetReceives(NodeId node, std::string const& key, int call, std::uint64_t first, std::shared_ptr<Runner> const& runner, Request::Leg leg, ConnectionPtr const& connection)
 {
     Target& target = m_targets[node];
     if (target.streams.contains(key))
@@ -407,7 +407,7 @@
         emit(node, key, 0, runner, leg, connection);
 }
 
-void World::emit(NodeId node, std::string const& key, std::uint64_t from, std::shared_ptr<Runner> const& runner, Request::Leg leg, ConnectionPtr const& connection)
+void RequestSimulation::emit(NodeId node, std::string const& key, std::uint64_t from, std::shared_ptr<Runner> const& runner, Request::Leg leg, ConnectionPtr const& connection)
 {
     Stream const& stream = m_targets[node].streams[key];
     std::uint64_t count = pieceCount - stream.first;
@@ -423,7 +423,7 @@
     toDaemon(Millis(2 * (count - from + 1)), Request::StreamEnded { leg, count });
 }
 
-char World::outcome(int id) const
+char RequestSimulation::outcome(int id) const
 {
     Call const& call = m_calls.at(id);
     if (call.isGone)
@@ -436,7 +436,7 @@
 }
 
 /// Checks that an answer has its own pieces in order, and none from an abandoned run after the next one began.
-std::string World::violationsOf(Call const& call)
+std::string RequestSimulation::violationsOf(Call const& call)
 {
     std::string result;
     std::set<std::string> runs;
@@ -454,7 +454,7 @@
     return result;
 }
 
-std::string World::violations() const
+std::string RequestSimulation::violations() const
 {
     std::string result = m_violations;
     for (std::pair<int const, Call> const& it : m_calls) {
--- a/Tests/LibRequest/World.h
+++ b/Tests/LibRequest/RequestSimulation.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-namespace TestWorld {
+namespace RequestTest {
 
 using namespace std::chrono_literals;
 using Millis = std::chrono::milliseconds;
@@ -40,7 +40,7 @@
 inline constexpr std::uint64_t pieceCount = 5;
 
 /// How the network treats one message.
-struct Fate {
+struct MessageFault {
     int copies { 1 };
     Millis delay { 0 }; ///< Also delays later messages on the connection.
     Millis overtakenFor { 0 }; ///< Later messages arrive first.
@@ -86,7 +86,7 @@
 };
 
 class Runner;
-class World;
+class RequestSimulation;
 
 /// A target's stream, by the attempt's unique id.
 struct Stream {
@@ -119,9 +119,9 @@
 
 /// Simulates daemons, targets, callers and a faulty network in virtual time around the real request machine, ticket home
 /// and answer store. The test controls every message.
-class World {
+class RequestSimulation {
 public:
-    World(int daemons, int targets);
+    RequestSimulation(int daemons, int targets);
 
     void start(int call, Kind, NodeId home, NodeId entry);
     void run(Millis until);
@@ -139,7 +139,7 @@
     bool callersInsist { false };
 
     /// Faults of messages; the default is none.
-    std::function<Fate(NodeId from, NodeId to)> fate;
+    std::function<MessageFault(NodeId from, NodeId to)> fault;
     std::function<void(Step, int call)> onStep;
 
     /// Violated invariants, one per line; empty if all hold. Precondition: all deadlines have passed.
--- a/Tests/LibRequest/Runner.h
+++ b/Tests/LibRequest/Runner.h
@@ -1,13 +1,13 @@
 #pragma once
 
-#include "World.h"
+#include "RequestSimulation.h"
 
-namespace TestWorld {
+namespace RequestTest {
 
 /// Performs one machine's actions in the simulation, as the daemon's I/O layer does.
 class Runner : public std::enable_shared_from_this<Runner> {
 public:
-    Runner(World&, NodeId, int call, Request::RequestProfile, std::optional<NodeId> home);
+    Runner(RequestSimulation&, NodeId, int call, Request::RequestProfile, std::optional<NodeId> home);
 
     void feed(Request::RequestEvent);
     void start();
@@ -38,7 +38,7 @@
     void follow(Request::Leg, std::uint64_t from);
     std::string key(std::uint32_t attempt) const;
 
-    World& m_world;
+    RequestSimulation& m_simulation;
     NodeId m_node;
     std::uint64_t m_incarnation;
     int m_call;
--- a/Tests/LibRequest/TestMatrix.cpp
+++ b/Tests/LibRequest/TestMatrix.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using namespace TestWorld;
+using namespace RequestTest;
 
 std::string nameOfCell(testing::TestParamInfo<std::tuple<std::size_t, std::size_t>> const& it)
 {
@@ -17,9 +17,9 @@
 protected:
     static void runCell(Kind kind, char expected)
     {
-        std::unique_ptr<World> world = runFault(kind, std::get<0>(GetParam()), faults()[std::get<1>(GetParam())]);
-        EXPECT_EQ(world->violations(), "");
-        EXPECT_EQ(world->outcome(1), expected) << "kind " << static_cast<int>(kind);
+        std::unique_ptr<RequestSimulation> simulation = runFault(kind, std::get<0>(GetParam()), faults()[std::get<1>(GetParam())]);
+        EXPECT_EQ(simulation->violations(), "");
+        EXPECT_EQ(simulation->outcome(1), expected) << "kind " << static_cast<int>(kind);
     }
 };
 
