--- a/Tests/LibRequest/Runner.h
+++ b/Tests/LibRequest/Runner.h
@@ -1,20 +1,20 @@
 #pragma once
 
-#include "World.h"
+#include "RequestSimulation.h"
 
-namespace TestWorld {
+namespace RequestTest {
 
-/// Carries out one machine's actions in the world, as the daemon's shell does.
+/// Performs one machine's actions in the simulation, as the daemon's I/O layer does.
 class Runner : public std::enable_shared_from_this<Runner> {
 public:
-    Runner(World&, NodeId, int call, Request::RequestProfile, std::optional<NodeId> home);
+    Runner(RequestSimulation&, NodeId, int call, Request::RequestProfile, std::optional<NodeId> home);
 
     void feed(Request::RequestEvent);
     void start();
 
     std::function<void(std::uint64_t position, std::string bytes)> onPiece;
     std::function<void(Request::Finish const&)> onFinish;
-    std::uint64_t firstPiece { 0 }; ///< Where the caller goes on, on the way to a home.
+    std::uint64_t firstPiece { 0 }; ///< Where the caller resumes, for a request forwarded to a home.
 
     NodeId node() const { return m_node; }
     int call() const { return m_call; }
@@ -38,7 +38,7 @@
     void follow(Request::Leg, std::uint64_t from);
     std::string key(std::uint32_t attempt) const;
 
-    World& m_world;
+    RequestSimulation& m_simulation;
     NodeId m_node;
     std::uint64_t m_incarnation;
     int m_call;
