--- a/Tests/LibRequest/Faults.cpp
+++ b/Tests/LibRequest/Faults.cpp
@@ -8,7 +8,7 @@
 void onNextReply(RequestSimulation& simulation, MessageFault fault, bool isLasting = false)
 {
     std::shared_ptr<bool> isDone = std::make_shared<bool>(false);
-    simulation.fault = [fault, isDone, isLasting](NodeId from, NodeId) {
+    simulation.messageFault = [fault, isDone, isLasting](NodeId from, NodeId) {
         bool applies = from == firstTarget && !*isDone;
         *isDone = *isDone || (applies && !isLasting);
         return applies ? fault : MessageFault {};
@@ -51,12 +51,12 @@
         if (hasStruck || reached != static_cast<Step>(step))
             return;
         hasStruck = true;
-        fault.strike(*simulation);
+        fault.inject(*simulation);
     };
     simulation->start(1, kind, homeNode, kind == Kind::RepeatableStream ? homeNode : otherEntry);
     if (second != nullptr) {
         simulation->run(30ms);
-        second->strike(*simulation);
+        second->inject(*simulation);
     }
     simulation->run(60s);
     simulation->onStep = {};
--- a/Tests/LibRequest/Faults.h
+++ b/Tests/LibRequest/Faults.h
@@ -14,7 +14,7 @@
 /// A fault injected once a step is reached; node 0 is the ticket's home (or the entry), node 10 the first target.
 struct Fault {
     std::string name;
-    std::function<void(RequestSimulation&)> strike;
+    std::function<void(RequestSimulation&)> inject;
     /// Expected outcomes at the ten steps, for each kind of request, as returned by `RequestSimulation::outcome`.
     std::string repeatableStream;
     std::string serviceOnce;
--- a/Tests/LibRequest/RequestSimulation.cpp
+++ b/Tests/LibRequest/RequestSimulation.cpp
@@ -103,7 +103,7 @@
         connection->isSilent = true;
     if (connection->isSilent || connection->isBroken || !m_nodes[from].isAlive)
         return;
-    MessageFault fault = this->fault ? this->fault(from, to) : MessageFault {};
+    MessageFault fault = this->messageFault ? this->messageFault(from, to) : MessageFault {};
     // Callers speak HTTP over one connection, which neither duplicates nor reorders messages.
     if (connection->from == callerNode)
         fault = MessageFault { .delay = fault.delay, .breaksConnection = fault.breaksConnection };
--- a/Tests/LibRequest/RequestSimulation.h
+++ b/Tests/LibRequest/RequestSimulation.h
@@ -139,7 +139,7 @@
     bool callersInsist { false };
 
     /// Faults of messages; the default is none.
-    std::function<MessageFault(NodeId from, NodeId to)> fault;
+    std::function<MessageFault(NodeId from, NodeId to)> messageFault;
     std::function<void(Step, int call)> onStep;
 
     /// Violated invariants, one per line; empty if all hold. Precondition: all deadlines have passed.
--- a/Tests/LibRequest/Runner.cpp
+++ b/Tests/LibRequest/Runner.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr Millis silenceLimit = 200ms;
-constexpr Millis cancelPatience = 300ms;
+constexpr Millis cancelTimeout = 300ms;
 
 }
 
@@ -194,7 +194,7 @@
     NodeId target = m_targets[it.attempt];
     ConnectionPtr connection = m_simulation.connect(m_node, target);
     auto answer = [self, it](Request::CancelOutcome outcome, std::string const& incarnation) { self->feed(Request::CancelAcknowledged { it.attempt, outcome, incarnation }); };
-    m_simulation.timer(m_node, cancelPatience, [answer] { answer(Request::CancelOutcome::Unknown, ""); });
+    m_simulation.timer(m_node, cancelTimeout, [answer] { answer(Request::CancelOutcome::Unknown, ""); });
     m_simulation.send(connection, m_node, [self, it, target, connection, answer] {
         Target& state = self->m_simulation.m_targets[target];
         std::string key = self->key(it.attempt);
--- a/Tests/LibRequest/TestRandomFaults.cpp
+++ b/Tests/LibRequest/TestRandomFaults.cpp
@@ -17,7 +17,7 @@
 }
 
 /// Injects one random fault.
-void strike(RequestSimulation& simulation, int calls)
+void inject(RequestSimulation& simulation, int calls)
 {
     NodeId node = anyNode();
     NodeId other = anyNode();
@@ -54,7 +54,7 @@
 }
 
 /// Drops, duplicates, delays and reorders a fraction of all messages.
-std::function<MessageFault(NodeId, NodeId)> randomFate(unsigned seed, int percent)
+std::function<MessageFault(NodeId, NodeId)> randomMessageFaults(unsigned seed, int percent)
 {
     std::shared_ptr<std::mt19937_64> random = std::make_shared<std::mt19937_64>(seed);
     return [random, percent](NodeId, NodeId) {
@@ -85,7 +85,7 @@
 {
     RequestSimulation simulation(daemonCount, targetCount);
     simulation.callersInsist = *rc::gen::inRange(0, 2) == 1;
-    simulation.fault = randomFate(*rc::gen::arbitrary<unsigned>(), *rc::gen::element(0, 5, 20, 50));
+    simulation.messageFault = randomMessageFaults(*rc::gen::arbitrary<unsigned>(), *rc::gen::element(0, 5, 20, 50));
     int calls = *rc::gen::inRange(1, 7);
     for (int call = 1; call <= calls; ++call) {
         Kind kind = *rc::gen::element(Kind::RepeatableStream, Kind::ServiceOnce, Kind::EngineOnce);
@@ -95,7 +95,7 @@
     for (int i = 0; i < strikes; ++i) {
         // Without faults, a request takes place mostly within 30 ms.
         simulation.run(Millis(*rc::gen::oneOf(rc::gen::inRange(0, 10), rc::gen::inRange(0, 3000))));
-        strike(simulation, calls);
+        inject(simulation, calls);
     }
     simulation.run(80s);
     std::string violations = simulation.violations();
@@ -108,7 +108,7 @@
     std::vector<std::string> outcomes;
     for (int run = 0; run < 2; ++run) {
         RequestSimulation simulation(daemonCount, targetCount);
-        simulation.fault = randomFate(7, 50);
+        simulation.messageFault = randomMessageFaults(7, 50);
         std::string outcome;
         for (int call = 1; call <= 50; ++call)
             simulation.start(call, static_cast<Kind>(call % 3), call % daemonCount, call % 3);
